--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -31,7 +31,7 @@
 
 A = TypeVar("A")
 SAFE = RequestClass(latency_objective_ms=500.0, message_latency_objective_ms=100.0)
-BASE = Settings(
+BASE_SETTINGS = Settings(
     request_classes=(SAFE,),
     drain_grace_ms=1000.0,
     answer_grace_ms=8.0,
@@ -46,7 +46,7 @@
 
 
 def settings(**changes: object) -> Settings:
-    return replace(BASE, **changes)  # type: ignore[arg-type]
+    return replace(BASE_SETTINGS, **changes)  # type: ignore[arg-type]
 
 
 class BalancerDriver:
@@ -86,11 +86,17 @@
         return self.handle_event(EndpointListUpdate(kind, servers))
 
     def request(
-        self, cls: int = 0, deadline_in_ms: float = 3000.0, group: AffinityGroup = None, key: ClientKey = None
+        self,
+        request_class: int = 0,
+        deadline_in_ms: float = 3000.0,
+        group: AffinityGroup = None,
+        key: ClientKey = None,
     ) -> RequestId:
         self.number += 1
         self.handle_event(
-            Request(self.number, cls, self.now + deadline_in_ms, affinity_group=group, client_key=key)
+            Request(
+                self.number, request_class, self.now + deadline_in_ms, affinity_group=group, client_key=key
+            )
         )
         return self.number
 
--- a/tests/state/test_request_table.py
+++ b/tests/state/test_request_table.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from tests.helpers import BASE
+from tests.helpers import BASE_SETTINGS
 from walkloom.messages import AttemptEstablished, Endpoint, Request
 from walkloom.state import Attempt, EndpointState, RequestState, RequestTable
 
 
 @pytest.fixture
 def table() -> RequestTable:
-    return RequestTable(BASE.request_classes)
+    return RequestTable(BASE_SETTINGS.request_classes)
 
 
 def add(table: RequestTable, request_id: str) -> RequestState:
