--- a/tests/characterisation/policy_plants.py
+++ b/tests/characterisation/policy_plants.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-NOT_TUNED = ("MIN_WANTED",)  # keeps a division defined
+NOT_TUNED = ("MIN_EXPECTED_REQUESTS",)  # avoids a division by zero
 
 PLANTS = {
     "greater of two draws": (
@@ -38,8 +38,8 @@
         "endpoint.cold_budget = 1000",
     ),
     "at capacity counts as a failure": (
-        "is_failure = event.status in outlier_detection.FAILURES",
-        "is_failure = event.status in (*outlier_detection.FAILURES, AttemptStatus.AT_CAPACITY)",
+        "is_failure = event.status in outlier_detection.FAILURE_STATUSES",
+        "is_failure = event.status in (*outlier_detection.FAILURE_STATUSES, AttemptStatus.AT_CAPACITY)",
     ),
     "trials of requests that are not idempotent": (
         "if request.attempts or request.request_class.idempotency is not Idempotency.IDEMPOTENT:",
@@ -47,30 +47,30 @@
     ),
     "own zone not preferred": ("    for pool in tier:\n", "    for pool in tier[::-1]:\n"),
     "a retry may go to the same server": (
-        "again = len(request.attempted_endpoints) >= tier.size",
-        "again = True",
+        "include_attempted = len(request.attempted_endpoints) >= tier.size",
+        "include_attempted = True",
     ),
     "overloaded endpoints are not paused": (
-        "    endpoint.paused_until = state.now + slow_start.SLOW_MESSAGE_MS\n",
+        "    endpoint.paused_until = state.now + slow_start.SLOW_MESSAGE_WINDOW_MS\n",
         "",
     ),
     "restarted servers keep their past": (
         "            endpoint.reset_for_restart(now)\n",
         "            pass\n",
     ),
-    "rejected where a failure is owed": (
+    "rejected where a failure is required": (
         "if request.may_have_run_at < 0 or request.request_class.is_repeatable_anywhere:",
         "if True:",
     ),
     "held requests lie past their deadline": (
-        "if tries or next_try_at >= request.request.deadline:",
-        "if tries:",
+        "if remaining or next_round_at >= request.request.deadline:",
+        "if remaining:",
     ),
     "silent servers are not passed over": (
         "return [item for item in endpoints if state.now - item.reported_at <= max_age_ms] or endpoints",
         "return endpoints",
     ),
-    "groups have no homes": ("        chosen = _group_endpoints(state, request, pool)\n", ""),
+    "groups have no preferred endpoints": ("        chosen = _group_endpoints(state, request, pool)\n", ""),
     "requests that wait are not ended at shutdown": (
         "    for request in [*state.requests.held.values(), *state.requests.polling.values()]:\n"
         "        answer(state, request)\n",
--- a/walkloom/balancer.py
+++ b/walkloom/balancer.py
@@ -1,4 +1,4 @@
-"""Hands each event to the parts of the policy that it concerns, and keeps the records. It decides nothing."""
+"""Dispatches each event to the modules of the policy and updates the state. It takes no decisions."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 )
 from walkloom.state import BalancerState, LoadEstimator, TimerToken
 
-# An event's handler; each takes the one type of event under which it is listed.
+# Handles the type of event under which it is listed in _HANDLERS.
 Handler: TypeAlias = Callable[[BalancerState, Any], None]
 
 
 class Balancer:
-    """One balancer: `handle(event, now)` returns the actions to carry out, in order."""
+    """The core of one balancer, without I/O: takes events, returns actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         loads = LoadEstimator(
@@ -53,7 +53,7 @@
         self.state = BalancerState(settings, Random(seed), loads)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take in one event at `now` (ms), and return what is to be done, in order."""
+        """Handle one event at `now` (ms); return the actions to carry out, in order."""
         self.state.now = now
         self.state.actions = []
         if handler := _HANDLERS.get(type(event)):
@@ -61,9 +61,10 @@
         return self.state.actions
 
     def may_send(self, request_id: RequestId, endpoint_id: EndpointId, now: float) -> bool:
-        """Whether an attempt's first byte may still go out, for a caller that took time to connect.
+        """Whether an attempt may still send its first byte after its connection took time to set up.
 
-        A drain may have been notified since the choice, or the time for a retry have run out. now: ms.
+        Since the endpoint was chosen, a drain may have been notified, the list lease may have expired, or the
+        deduplication window may have ended. now: ms.
         """
         self.state.now = now
         request = self.state.requests.by_id.get(request_id)
@@ -74,12 +75,12 @@
         return is_allowed and endpoint_selection.is_within_drain_grace(self.state, endpoint)
 
     def watch_hold_ms(self, now: float) -> float:
-        """How long discovery may hold the next call for the list, ms. now: ms."""
+        """Return how long discovery may hold the next call for the endpoint list, ms. now: ms."""
         self.state.now = now
         return endpoint_watch.hold_ms(self.state)
 
     def list_lease_ms(self, now: float) -> float:
-        """How long the endpoint list may still be used, ms; 0: it may not. now: ms."""
+        """Return how long the endpoint list may still be used, ms; 0 if its lease has expired. now: ms."""
         self.state.now = now
         return list_lease.remaining_ms(self.state)
 
@@ -90,17 +91,17 @@
         dispatch.place(state, request)
 
 
-def _receive_adopted(state: BalancerState, event: ConnectionAdopted) -> None:
-    """A connection that stood before this balancer started: count it where it stands."""
+def _receive_connection_adopted(state: BalancerState, event: ConnectionAdopted) -> None:
+    """Count a connection that was established before this balancer started."""
     endpoint = state.endpoints.by_id.get(event.endpoint_id)
     if endpoint and (request := state.requests.add(event.request)):
         request.attempts = 1
         request.is_established = True
         state.assign(request, endpoint)
-        endpoint.recent_placements = []  # it is not new to the endpoint: load reports hold it already
+        endpoint.recent_placements = []  # not recent: load reports already contain the connection
 
 
-def _receive_established(state: BalancerState, event: AttemptEstablished) -> None:
+def _receive_attempt_established(state: BalancerState, event: AttemptEstablished) -> None:
     if attempt := state.requests.attempt_of(event):
         attempt.request.is_established = True
         was_trial = attempt.end_trial()
@@ -121,44 +122,44 @@
         state.record_report(
             endpoint, event.load_report, load_reports.MIN_CONNECTIONS_FOR_COST, load_reports.COST_SMOOTHING
         )
-        _place_reported(state, endpoint.id)
+        _place_polled(state, endpoint.id)
 
 
-def _place_reported(state: BalancerState, answered_by: EndpointId = None) -> None:
-    """Place the requests that poll no longer, as the last has answered or their time is over."""
-    for request in state.requests.remove_finished_polls(answered_by, state.now):
+def _place_polled(state: BalancerState, reported_by: EndpointId = None) -> None:
+    """Place the requests whose polls have all been answered or timed out."""
+    for request in state.requests.remove_finished_polls(reported_by, state.now):
         dispatch.place(state, request)
 
 
-def _disconnect(state: BalancerState, event: ClientDisconnected) -> None:
+def _receive_client_disconnected(state: BalancerState, event: ClientDisconnected) -> None:
     state.requests.disconnect(event.request_id)
 
 
-def _shut_down(state: BalancerState, _: ShutdownStarted) -> None:
+def _receive_shutdown_started(state: BalancerState, _: ShutdownStarted) -> None:
     dispatch.shut_down(state)
 
 
-def _fire_timer(state: BalancerState, event: TimerFired) -> None:
+def _receive_timer_fired(state: BalancerState, event: TimerFired) -> None:
     match event.token:
         case TimerToken.HELD_REQUESTS:
-            dispatch.try_held(state)
+            dispatch.place_held(state)
         case TimerToken.WATCH:
             state.actions.append(WatchEndpointList())
         case TimerToken.DRAIN:
             migration.migrate_from_draining(state)
         case _:
-            _place_reported(state)
+            _place_polled(state)
 
 
 _HANDLERS: dict[type, Handler] = {
-    AttemptEnded: dispatch.receive_ended,
-    AttemptEstablished: _receive_established,
-    ClientDisconnected: _disconnect,
-    ConnectionAdopted: _receive_adopted,
+    AttemptEnded: dispatch.receive_attempt_ended,
+    AttemptEstablished: _receive_attempt_established,
+    ClientDisconnected: _receive_client_disconnected,
+    ConnectionAdopted: _receive_connection_adopted,
     ConnectionSignal: _receive_signal,
     EndpointListUpdate: endpoint_watch.receive_update,
     LoadReportReceived: _receive_load_report,
     Request: _receive_request,
-    ShutdownStarted: _shut_down,
-    TimerFired: _fire_timer,
+    ShutdownStarted: _receive_shutdown_started,
+    TimerFired: _receive_timer_fired,
 }
--- a/walkloom/policy/__init__.py
+++ b/walkloom/policy/__init__.py
@@ -1,8 +1,8 @@
-"""The decisions of a balancer and every tuned constant: events in, actions out, no I/O, no state of its own.
+"""The decisions of a balancer and their constants: events in, actions out, no I/O and no state of its own.
 
-- `dispatch`: the life of a request from its arrival to its final answer: attempt, retry, hold, reject
+- `dispatch`: the life cycle of a request: attempt, retry, hold, reject
 - `endpoint_selection`, `load_reports`, `load_polling`: which endpoint a request is sent to
-- `outlier_detection`, `slow_start`: which endpoints get trials only, or few requests
-- `migration`: what overloaded endpoints get, and which open connections move
-- `list_lease`: how old the endpoint list may be; `endpoint_watch`: when it is asked for
+- `outlier_detection`, `slow_start`: which endpoints get only trials, or few requests
+- `migration`: pauses of overloaded endpoints, and which open connections migrate
+- `list_lease`: how old the endpoint list may be; `endpoint_watch`: when discovery is called for it
 """
--- a/walkloom/policy/dispatch.py
+++ b/walkloom/policy/dispatch.py
@@ -1,51 +1,51 @@
-"""The life of a request: attempt, retry, hold, reject. Events and actions: walkloom/messages/."""
+"""The life cycle of a request: attempt, retry, hold, reject. Events and actions: walkloom/messages/."""
 
 from walkloom.messages.actions import AnswerReason, Fail, Reject, StartAttempt
 from walkloom.messages.events import NEVER_RAN, AttemptEnded, AttemptStatus
 from walkloom.messages.settings import Idempotency
 from walkloom.policy import endpoint_selection, list_lease, load_polling, migration, outlier_detection
 from walkloom.policy.load_reports import REPORT_MAX_AGE_MS
-from walkloom.policy.slow_start import BACK_OFF_MS
+from walkloom.policy.slow_start import RECOVERY_MS
 from walkloom.state import BalancerState, EndpointState, Placement, RequestState, TimerToken
 
-HOLD_INTERVAL_MS = 100.0  # between two tries of the requests that wait for capacity
-HOLD_TRIES = 8  # of them are tried in one interval, which bounds the work of a burst
-RETRY_AFTER_MS = 1000.0  # asked of rejected clients in the mean, by chance, so that a burst does not return
-FULL_TIMEOUT_SHARE = 0.7  # an attempt whose timeout would take more of the time left gets all of it
+HOLD_INTERVAL_MS = 100.0  # between two rounds of placing the requests that wait for capacity
+HELD_REQUESTS_PER_INTERVAL = 8  # that still find no capacity before a round stops; bounds the work of a burst
+MEAN_RETRY_AFTER_MS = 1000.0  # named by rejections, with jitter so that the clients of a burst spread out
+FULL_TIMEOUT_SHARE = 0.7  # an attempt that would take a larger share of the remaining time gets all of it
 
 
 def place(state: BalancerState, request: RequestState) -> None:
-    """Start an attempt, hold the request, or give its final answer; none of its attempts is out."""
-    latest = request.deadline - 2 * state.settings.tick_ms
-    if reason := _reason_to_end(state, request, latest):
+    """Start an attempt for a request with none running, hold the request, or give its final answer."""
+    latest_send_at = request.deadline - 2 * state.settings.tick_ms
+    if reason := _answer_reason(state, request, latest_send_at):
         answer(state, request, reason)
         return
     tier = endpoint_selection.tier_for(state, request)
     if state.uses_load_reports and load_polling.must_wait(state, request, tier):
         return
-    endpoint = outlier_detection.due_trial(state, request, tier)
+    endpoint = outlier_detection.select_trial(state, request, tier)
     endpoint = endpoint or endpoint_selection.select(state, request, tier)
     if endpoint:
         _start_attempt(state, request, endpoint)
     elif not tier.size:
         answer(state, request, AnswerReason.NO_ENDPOINT)
-    elif request.poll_rounds > 1 or state.now + HOLD_INTERVAL_MS >= latest:
-        # held any longer, it may pass its deadline before the next try
+    elif request.poll_rounds > 1 or state.now + HOLD_INTERVAL_MS >= latest_send_at:
+        # the next round may be too late for its deadline
         answer(state, request, AnswerReason.AT_CAPACITY)
     else:
         state.requests.held[request.id] = request
         _start_hold_timer(state)
 
 
-def _reason_to_end(state: BalancerState, request: RequestState, latest: float) -> AnswerReason | None:
-    """Why no attempt can be made for the request any more; None where one can."""
+def _answer_reason(state: BalancerState, request: RequestState, latest_send_at: float) -> AnswerReason | None:
+    """Return why no further attempt can be made for the request; None if one can."""
     if state.max_attempts == 0:
         return AnswerReason.SHUTDOWN
     if not list_lease.is_valid(state):
         return AnswerReason.LIST_EXPIRED
     if request.attempts >= state.max_attempts:
         return AnswerReason.ATTEMPTS_USED
-    if state.now >= latest:
+    if state.now >= latest_send_at:
         return AnswerReason.DEADLINE
     return None if may_retry(state, request) else AnswerReason.NOT_REPEATABLE
 
@@ -64,12 +64,12 @@
     if state.uses_load_reports:
         endpoint.add_placement(Placement(state.now, request.load), REPORT_MAX_AGE_MS)
     endpoint.cold_budget -= 1
-    migration.pace(state, endpoint)
+    migration.pause_after_overload(state, endpoint)
     state.actions.append(StartAttempt(request.id, endpoint.id, timeout_ms))
 
 
 def may_retry(state: BalancerState, request: RequestState) -> bool:
-    """Rule 2: whether one more attempt is harmless after those that may have run."""
+    """Whether one more attempt has no further effect after those that may have run (rule 2)."""
     request_class = request.request_class
     if request.may_have_run_at < 0 or request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
@@ -79,9 +79,9 @@
 
 
 def answer(state: BalancerState, request: RequestState, reason: AnswerReason) -> None:
-    """Give the final answer to a request with no attempt out: rejected where harmless, else failed."""
+    """Give the final answer to a request with no running attempt: reject if a repeat is safe, else fail."""
     state.requests.remove(request.id)
-    retry_after_ms = RETRY_AFTER_MS * (0.5 + state.random.random())
+    retry_after_ms = MEAN_RETRY_AFTER_MS * (0.5 + state.random.random())
     retry_after_ms = min(retry_after_ms, state.settings.max_retry_after_ms)
     if request.may_have_run_at < 0 or request.request_class.is_repeatable_anywhere:
         state.actions.append(Reject(request.id, retry_after_ms, reason))
@@ -89,16 +89,16 @@
         state.actions.append(Fail(request.id, reason))
 
 
-def receive_ended(state: BalancerState, event: AttemptEnded) -> None:
-    """An attempt or a connection ended: retry the request, unless nothing more is owed."""
+def receive_attempt_ended(state: BalancerState, event: AttemptEnded) -> None:
+    """Handle the end of an attempt or a connection: retry the request unless it is finished."""
     if (attempt := state.requests.attempt_of(event)) is None:
         return
     request, endpoint = attempt
     was_trial = attempt.end_trial()
     state.release(request, endpoint)
-    is_failure = event.status in outlier_detection.FAILURES
+    is_failure = event.status in outlier_detection.FAILURE_STATUSES
     if event.status is AttemptStatus.AT_CAPACITY or (request.is_established and is_failure):
-        endpoint.paused_until = state.now + BACK_OFF_MS
+        endpoint.paused_until = state.now + RECOVERY_MS
     if is_failure:
         outlier_detection.record_failure(state, endpoint)
     elif event.status is AttemptStatus.OK and not request.is_established:
@@ -112,16 +112,16 @@
     place(state, request)
 
 
-def try_held(state: BalancerState) -> None:
-    """Try held requests again: some, and all that would be late at the next try."""
+def place_held(state: BalancerState) -> None:
+    """Place held requests again: some, and all that would be too late in the next round."""
     state.is_hold_timer_running = False
-    tries = HOLD_TRIES
+    remaining = HELD_REQUESTS_PER_INTERVAL
     for request_id, request in list(state.requests.held.items()):
-        next_try_at = state.now + HOLD_INTERVAL_MS + 2 * state.settings.tick_ms
-        if tries or next_try_at >= request.deadline:
+        next_round_at = state.now + HOLD_INTERVAL_MS + 2 * state.settings.tick_ms
+        if remaining or next_round_at >= request.deadline:
             del state.requests.held[request_id]
             place(state, request)
-            tries -= tries > 0 and request_id in state.requests.held
+            remaining -= remaining > 0 and request_id in state.requests.held
     _start_hold_timer(state)
 
 
@@ -132,7 +132,7 @@
 
 
 def shut_down(state: BalancerState) -> None:
-    """Answer all requests with no attempt out; no further attempt is made for the others."""
+    """Answer all requests with no attempt running; no further attempt is made for the others."""
     state.max_attempts = 0
     for request in [*state.requests.held.values(), *state.requests.polling.values()]:
         answer(state, request, AnswerReason.SHUTDOWN)
--- a/walkloom/policy/list_lease.py
+++ b/walkloom/policy/list_lease.py
@@ -1,22 +1,22 @@
-"""How old the endpoint list may be: the one owner of that question, for placement and for the pace of calls.
+"""How old the endpoint list may be; both placement and the pauses between calls to discovery follow from it.
 
-A lease begins when discovery confirms the list. It ends before a change that followed at once counts as
-notified and its drain grace is over (rule 3). While discovery is seen to be down nobody can learn of a
-change, and the lease goes on. When it is over nothing new is sent until discovery answers: clients are
-rejected.
+The lease starts when discovery confirms the list. It expires before a change that happened right after the
+confirmation could count as notified and outlive its drain grace (rule 3). While discovery is observed to be
+down, no balancer can learn of a change, and the lease is extended. After the lease has expired, nothing new
+is sent until discovery answers: clients are rejected.
 """
 
 from walkloom.messages.events import EndpointListUpdate, ListFailure
 from walkloom.state import BalancerState
 
-# Discovery counts as down all the time between two looks that are no further apart.
+# Discovery counts as down for the whole time between two observations that are no further apart than this.
 MAX_UNOBSERVED_MS = 1200.0
-# A failed call makes the time that the settings give for asking so many times as long. The platform's rule.
+# Multiplies the configured poll interval after a failed call. The platform sets this rule.
 FAILED_CALL_FACTOR = 4.0
 
 
 def is_valid(state: BalancerState) -> bool:
-    """Whether something new may be sent by the list."""
+    """Whether new requests may be sent to the endpoints of the list."""
     return state.now < state.list_lease.expires_at
 
 
@@ -26,12 +26,12 @@
 
 
 def remaining_ms(state: BalancerState) -> float:
-    """Time until the lease is over, 0 where it is."""
+    """Return the time until the lease expires, ms; 0 if it has expired."""
     return max(state.list_lease.expires_at - state.now, 0.0)
 
 
 def renew(state: BalancerState, update: EndpointListUpdate) -> None:
-    """Discovery has confirmed the list, or this balancer starts with the list that it had last."""
+    """Renew the lease: discovery confirmed the list, or this balancer starts with its last known list."""
     lease = state.list_lease
     lease.failures = 0
     if update.call_ms > 0:
@@ -41,17 +41,17 @@
 
 
 def record_failure(state: BalancerState, update: EndpointListUpdate) -> None:
-    """A call brought no list."""
+    """Record a call that returned no list."""
     lease = state.list_lease
     lease.failures += 1
     if not is_limited(state):
         return
     if update.watched_until is not None:
         lease.observed_until = max(lease.observed_until, update.watched_until)
-    is_without_gap = state.now - lease.observed_until <= MAX_UNOBSERVED_MS
-    if update.failure is ListFailure.UNREACHABLE and is_without_gap and is_valid(state):
+    has_no_gap = state.now - lease.observed_until <= MAX_UNOBSERVED_MS
+    if update.failure is ListFailure.UNREACHABLE and has_no_gap and is_valid(state):
         _extend(state, state.now, _max_age_after_failure_ms(state))
-    # the settings' own time may be the shorter one once no watch is open
+    # without an open watch the limit from the configured poll interval may be the shorter one
     limit = lease.observed_until + _max_age_after_failure_ms(state) + _grace_ms(state)
     lease.expires_at = min(lease.expires_at, limit)
 
@@ -63,8 +63,8 @@
 
 
 def _max_age_after_failure_ms(state: BalancerState) -> float:
-    asked_ms = FAILED_CALL_FACTOR * state.settings.max_poll_interval_ms
-    return min(state.settings.max_list_age_ms, asked_ms or state.settings.max_list_age_ms)
+    extended_interval_ms = FAILED_CALL_FACTOR * state.settings.max_poll_interval_ms
+    return min(state.settings.max_list_age_ms, extended_interval_ms or state.settings.max_list_age_ms)
 
 
 def _grace_ms(state: BalancerState) -> float:
--- a/walkloom/policy/migration.py
+++ b/walkloom/policy/migration.py
@@ -1,4 +1,4 @@
-"""What overloaded endpoints get, and which open connections migrate off these and off draining ones."""
+"""Pauses overloaded endpoints, and migrates open connections off overloaded and draining endpoints."""
 
 from walkloom.messages.actions import LogMessage, MigrateConnection
 from walkloom.policy import slow_start
@@ -11,71 +11,77 @@
     TimerToken,
 )
 
-PACE_MS = 350.0  # mean pause between placements right after an overload, times the balancers
-PACE_EASING = 0.05  # it falls by so much each ms
-PACE_IF_MOST_OVERLOADED_MS = 330.0  # mean pause at any endpoint then, times the balancers
-OVERLOAD_MEMORY_MS = 90_000.0  # no group or heavy client new to an endpoint so long after an overload
+OVERLOAD_PAUSE_MS = 350.0  # mean pause between placements right after an overload; times balancer_count
+OVERLOAD_PAUSE_DECAY = 0.05  # ms by which it falls in each ms since the overload
+MAJORITY_OVERLOAD_PAUSE_MS = 330.0  # the same at any endpoint while most are overloaded
+OVERLOAD_RECOVERY_MS = 90_000.0  # time after an overload without groups or heavy clients new to the endpoint
 DRAIN_INTERVAL_MS = 100.0  # between two rounds of migrations off draining endpoints
-DRAIN_SHARE = 0.2  # of the connections there, in each round
-MIN_OVERLOAD_SHARE = 0.05  # of an overloaded endpoint's connections that migrate, for the shortest delay
-MAX_OVERLOAD_SHARE = 0.25  # and for long ones
-OVERLOAD_MS_PER_SHARE = 4000.0  # the delay by which the share would grow by one
-
-
-def pace(state: BalancerState, endpoint: EndpointState) -> None:
-    """Pause an endpoint that was overloaded: a flood through all balancers would jam it anew."""
-    slow_start.carried(state)  # keeps is_majority_overloaded up to date
-    pace_ms = PACE_MS - PACE_EASING * (state.now - endpoint.overloaded_at)
-    pace_ms = max(pace_ms, PACE_IF_MOST_OVERLOADED_MS * state.is_majority_overloaded)
-    pause_ms = pace_ms * state.settings.balancer_count * state.random.expovariate(1.0)
+DRAIN_MIGRATION_SHARE = 0.2  # of the connections on draining endpoints, in each round
+MIN_OVERLOAD_MIGRATION_SHARE = 0.05  # of an overloaded endpoint's connections, for the shortest delay
+MAX_OVERLOAD_MIGRATION_SHARE = 0.25  # and for long delays
+DELAY_MS_PER_SHARE = 4000.0  # the message delay that adds 1 to the share
+
+
+def pause_after_overload(state: BalancerState, endpoint: EndpointState) -> None:
+    """Pause an endpoint that was overloaded: a burst from all balancers would overload it again."""
+    slow_start.update_connections_per_weight(state)  # keeps is_majority_overloaded up to date
+    mean_pause_ms = OVERLOAD_PAUSE_MS - OVERLOAD_PAUSE_DECAY * (state.now - endpoint.overloaded_at)
+    mean_pause_ms = max(mean_pause_ms, MAJORITY_OVERLOAD_PAUSE_MS * state.is_majority_overloaded)
+    pause_ms = mean_pause_ms * state.settings.balancer_count * state.random.expovariate(1.0)
     endpoint.paused_until = max(endpoint.paused_until, state.now + pause_ms)
 
 
 def record_delay(state: BalancerState, endpoint: EndpointState, delay_ms: float) -> None:
-    """A message took so long: over its objective, the endpoint is overloaded and some clients move."""
+    """Record a message delay: above the latency objective, pause the endpoint and migrate some clients."""
     is_slow = delay_ms > state.message_objective_ms / 3
     endpoint.slow_message_at = state.now if is_slow else NEVER_HAPPENED
-    slow_start.carried(state)
+    slow_start.update_connections_per_weight(state)
     if delay_ms <= state.message_objective_ms:
         endpoint.paused_until = NEVER_HAPPENED
-        pace(state, endpoint)
+        pause_after_overload(state, endpoint)
         return
-    # what is placed where messages already miss their objective is lost, and feeds the overload
-    endpoint.paused_until = state.now + slow_start.SLOW_MESSAGE_MS
-    if state.now - endpoint.overloaded_at >= OVERLOAD_MEMORY_MS:
+    # a connection placed where messages already miss their objective is lost, and adds to the overload
+    endpoint.paused_until = state.now + slow_start.SLOW_MESSAGE_WINDOW_MS
+    if state.now - endpoint.overloaded_at >= OVERLOAD_RECOVERY_MS:
         state.actions.append(LogMessage(f"server_overloaded delay_ms={delay_ms:.0f}", endpoint.id))
     endpoint.overloaded_at = state.now
     _migrate_from_overloaded(state, endpoint, delay_ms)
 
 
-def start_draining(state: BalancerState) -> None:
-    """An endpoint drains: start the rounds, unless they run."""
+def start_drain_timer(state: BalancerState) -> None:
+    """Schedule the next round of migrations off draining endpoints, unless it is already scheduled."""
     if not state.is_drain_timer_running:
         state.is_drain_timer_running = True
         state.start_timer(state.now + DRAIN_INTERVAL_MS, TimerToken.DRAIN)
 
 
 def migrate_from_draining(state: BalancerState) -> None:
-    """Departure: nothing says when a draining endpoint leaves; a part migrates each round, if any could."""
+    """Migrate a share of the connections on draining endpoints, if another endpoint can take them.
+
+    Deviates from the standard mechanism: nothing tells when a draining endpoint leaves.
+    """
     draining = [request for request in state.requests.by_id.values() if request.is_on_draining_endpoint()]
     state.is_drain_timer_running = False
     if draining:
-        start_draining(state)
+        start_drain_timer(state)
     endpoints = state.endpoints.by_id.values()
     if any(item.drain_notified_at == NOT_DRAINING and not item.is_ejected for item in endpoints):
-        _migrate(state, draining, len(draining) * DRAIN_SHARE)
+        _migrate(state, draining, len(draining) * DRAIN_MIGRATION_SHARE)
 
 
 def _migrate_from_overloaded(state: BalancerState, endpoint: EndpointState, delay_ms: float) -> None:
-    """Departure: a slow endpoint earns nothing with all it holds; a part of it moves, costly ones first."""
+    """Migrate a share of the connections of an overloaded endpoint, those with the largest load first.
+
+    Deviates from the standard mechanism: with all of its connections a slow endpoint serves none in time.
+    """
     requests = state.requests.by_id.values()
-    held = [request for request in requests if request.endpoint is endpoint and request.is_established]
-    held.sort(key=lambda request: request.load_share_at(endpoint), reverse=True)
-    share = min(MIN_OVERLOAD_SHARE + delay_ms / OVERLOAD_MS_PER_SHARE, MAX_OVERLOAD_SHARE)
-    _migrate(state, held, len(held) * share)
+    established = [request for request in requests if request.endpoint is endpoint and request.is_established]
+    established.sort(key=lambda request: request.load_share_at(endpoint), reverse=True)
+    share = min(MIN_OVERLOAD_MIGRATION_SHARE + delay_ms / DELAY_MS_PER_SHARE, MAX_OVERLOAD_MIGRATION_SHARE)
+    _migrate(state, established, len(established) * share)
 
 
-def _migrate(state: BalancerState, requests: list[RequestState], number: float) -> None:
-    """Migrate the first ones; a fraction counts by chance, as many balancers may hold one each."""
-    chosen = requests[: int(number + state.random.random())]
+def _migrate(state: BalancerState, requests: list[RequestState], count: float) -> None:
+    """Migrate the first `count` connections; a fraction is rounded at random: balancers may hold one each."""
+    chosen = requests[: int(count + state.random.random())]
     state.actions += [MigrateConnection(request.id) for request in chosen]
--- a/walkloom/policy/outlier_detection.py
+++ b/walkloom/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Ejects endpoints whose attempts fail, and lets them rejoin after clean trials."""
+"""Ejects endpoints whose attempts fail, and lets them rejoin after successful trials."""
 
 from walkloom.messages.actions import LogMessage
 from walkloom.messages.events import AttemptStatus
@@ -7,12 +7,12 @@
 from walkloom.state import NOT_DRAINING, BalancerState, EndpointState, RequestState, Tier
 
 FAILURE_SMOOTHING = 0.3  # weight of the newest attempt in the failure rate
-EJECTION_RATE = 0.5  # failure rate from which an endpoint is ejected
-TRIAL_BACKOFF_MS = 1000.0  # before the first trial; doubles after each that fails
+EJECTION_FAILURE_RATE = 0.5  # an endpoint with a higher failure rate is ejected
+TRIAL_BACKOFF_MS = 1000.0  # before the first trial; doubles after each failed trial
 MAX_TRIAL_BACKOFF_MS = 8000.0  # so that an endpoint that recovered is found within seconds
-CLEAN_TRIAL_PAUSE_MS = 250.0  # after a clean trial
-CLEAN_TRIALS_TO_REJOIN = 3  # in a row
-FAILURES = (  # that speak against an endpoint; being at capacity does not
+TRIAL_INTERVAL_MS = 250.0  # after a successful trial
+SUCCESSFUL_TRIALS_TO_REJOIN = 3  # in a row
+FAILURE_STATUSES = (  # which count against an endpoint; being at capacity does not
     AttemptStatus.ERROR,
     AttemptStatus.TIMED_OUT,
     AttemptStatus.CONNECT_FAILED,
@@ -21,11 +21,11 @@
 
 
 def record_failure(state: BalancerState, endpoint: EndpointState) -> None:
-    """Count a failed attempt: may eject the endpoint, or put off its next trial."""
+    """Count a failed attempt: may eject the endpoint, or postpone its next trial."""
     endpoint.failure_rate += FAILURE_SMOOTHING * (1.0 - endpoint.failure_rate)
     if endpoint.is_ejected:
         endpoint.postpone_trial(state.now, min(endpoint.trial_backoff_ms * 2, MAX_TRIAL_BACKOFF_MS))
-    elif endpoint.failure_rate > EJECTION_RATE and endpoint.drain_notified_at == NOT_DRAINING:
+    elif endpoint.failure_rate > EJECTION_FAILURE_RATE and endpoint.drain_notified_at == NOT_DRAINING:
         endpoint.is_ejected = True
         endpoint.postpone_trial(state.now, TRIAL_BACKOFF_MS)
         state.endpoints.invalidate()
@@ -33,23 +33,29 @@
 
 
 def record_success(state: BalancerState, endpoint: EndpointState, was_trial: bool) -> None:
-    """Count an attempt that was served; enough clean trials in a row end an ejection."""
+    """Count a successful attempt; enough successful trials in a row end an ejection."""
     endpoint.failure_rate *= 1.0 - FAILURE_SMOOTHING
     if endpoint.is_ejected and was_trial:
         endpoint.successful_trials += 1
-        endpoint.next_trial_at = state.now + CLEAN_TRIAL_PAUSE_MS
-        if endpoint.successful_trials >= CLEAN_TRIALS_TO_REJOIN:
+        endpoint.next_trial_at = state.now + TRIAL_INTERVAL_MS
+        if endpoint.successful_trials >= SUCCESSFUL_TRIALS_TO_REJOIN:
             endpoint.reset_failures(state.now)
             state.endpoints.invalidate()
 
 
-def due_trial(state: BalancerState, request: RequestState, tier: Tier) -> EndpointState | None:
-    """An ejected endpoint that an idempotent first attempt may try; a remote one if no local is usable."""
+def select_trial(state: BalancerState, request: RequestState, tier: Tier) -> EndpointState | None:
+    """Return an ejected endpoint for a trial; None if no trial is due.
+
+    Only first attempts of idempotent requests are trials. A remote endpoint gets one only if no local
+    endpoint is usable.
+    """
     if request.attempts or request.request_class.idempotency is not Idempotency.IDEMPOTENT:
         return None
     local_zone = state.settings.local_zone
-    near = [item for item in state.endpoints.ejected if item.zone == local_zone or not tier.local.endpoints]
-    for endpoint in near:
+    trial_candidates = [
+        item for item in state.endpoints.ejected if item.zone == local_zone or not tier.local.endpoints
+    ]
+    for endpoint in trial_candidates:
         if endpoint.is_trial_due(state.now) and slow_start.has_capacity(state, endpoint):
             endpoint.is_trial_running = True
             request.is_trial = True
