--- a/tests/frontends/line/test_frontend.py
+++ b/tests/frontends/line/test_frontend.py
@@ -1,4 +1,4 @@
-"""The line frontend and its neighbours, against scripted clients and servers on loopback."""
+"""The line frontend, the endpoint watcher and their decoders, with scripted peers on loopback."""
 
 from __future__ import annotations
 
@@ -143,7 +143,7 @@
 @pytest.mark.parametrize(
     "script", (REQUESTS | MALFORMED_REQUESTS).values(), ids=(REQUESTS | MALFORMED_REQUESTS).keys()
 )
-def test_each_request_gets_the_answer_it_is_owed(script: str) -> None:
+def test_each_request_gets_its_one_final_answer(script: str) -> None:
     scenario.run(script, build_frontend)
 
 
@@ -198,7 +198,7 @@
 @pytest.mark.parametrize("script", DESCRIPTOR_SHORTAGES.values(), ids=DESCRIPTOR_SHORTAGES.keys())
 def test_a_shortage_of_descriptors_closes_idle_connections_first(script: str) -> None:
     async def build_with_three_descriptors(world: scenario.World) -> None:
-        # Of 21, 2 are for load reports and 16 for the process itself: 3 are left.
+        # Of 21 descriptors, load reports take 2 and the process itself 16: 3 are left.
         world.sockets = 21  # type: ignore[attr-defined]
         await build_frontend(world)
 
@@ -225,15 +225,19 @@
     assert next(remaining_failures, None) is None
 
 
-def test_a_server_is_not_blamed_for_a_shortage_of_descriptors_here(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_descriptor_shortage_of_the_balancer_is_not_recorded_as_a_server_failure(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def fail_without_descriptor(address: object) -> None:
         raise OSError(errno.EMFILE, "too many")
 
     monkeypatch.setattr("walkloom.frontends.line.upstream.open_line_stream", fail_without_descriptor)
-    blamed: list[object] = []
-    monkeypatch.setattr(outlier_detection, "record_failure", lambda _, endpoint: blamed.append(endpoint))
+    recorded_failures: list[object] = []
+    monkeypatch.setattr(
+        outlier_detection, "record_failure", lambda _, endpoint: recorded_failures.append(endpoint)
+    )
     scenario.run(f"c send {OPEN}\nwithin 100 c expect BUSY*", build_frontend, ("attempt_not_sent",) * 3)
-    assert not blamed
+    assert not recorded_failures
 
 
 def test_a_failing_policy_still_gives_one_answer(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -244,7 +248,7 @@
     scenario.run(f"c send {OPEN}\nc expect ERR\nc expect EOF", build_frontend, ("policy_error",))
 
 
-def test_a_request_line_is_decoded_whole_and_passed_on_but_for_its_patience() -> None:
+def test_a_request_line_is_decoded_and_forwarded_unchanged_except_for_its_timeout() -> None:
     line = b"OPEN 9b1f 7f3a c=chat,t=best,d=2000,g=5c0f,h=1.5,r=1,again=1,other=9\r\n"
     request_line = decode(line, NAMES, 3000.0)
     assert request_line == RequestLine(
@@ -252,7 +256,7 @@
         id="9b1f",
         request_class=0,
         tenant=1,
-        patience_ms=2000.0,
+        request_timeout_ms=2000.0,
         client_key=0x7F3A,
         affinity_group=0x5C0F,
         load=1.5,
@@ -295,7 +299,7 @@
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "changed_field",
     [
         "lifecycle=asleep",
         "lifecycle=",
@@ -308,24 +312,31 @@
         "startedAtMs=x",
     ],
 )
-def test_an_entry_that_cannot_be_used_is_left_out_alone(odd: str) -> None:
-    sound: dict[str, object] = {"instanceId": "b", "hostPort": "127.0.0.1:1", "lifecycle": "up", "new": [1]}
-    sound |= {"zone": None, "machineType": None, "cell": None, "weight": None, "startedAtMs": None}
-    key, separator, value = odd.partition("=")
-    bad = {**sound, "instanceId": "a", key: value or None}
+def test_an_unusable_entry_is_ignored_and_the_others_are_used(changed_field: str) -> None:
+    valid_entry: dict[str, object] = {
+        "instanceId": "b",
+        "hostPort": "127.0.0.1:1",
+        "lifecycle": "up",
+        "new": [1],
+    }
+    valid_entry |= {"zone": None, "machineType": None, "cell": None, "weight": None, "startedAtMs": None}
+    key, separator, value = changed_field.partition("=")
+    invalid_entry = {**valid_entry, "instanceId": "a", key: value or None}
     if not separator:
-        del bad[key]
-    body = orjson.dumps({"generation": 1, "reset": True, "instances": [bad, sound, "x"]})
+        del invalid_entry[key]
+    body = orjson.dumps({"generation": 1, "reset": True, "instances": [invalid_entry, valid_entry, "x"]})
     result = decode_list(body, NAMES)
     assert [(s.id, s.cell, s.capacity_weight, s.started_at) for s in result.servers] == [("b", 0, 1.0, 0.0)]
-    # A list in another form must not replace what is known.
+    # A list without any usable entry must not replace the known one.
     with pytest.raises(DiscoveryError, match="no entry"):
-        decode_list(orjson.dumps({"generation": 1, "reset": True, "instances": [bad]}), NAMES)
+        decode_list(orjson.dumps({"generation": 1, "reset": True, "instances": [invalid_entry]}), NAMES)
 
 
 @pytest.mark.parametrize("indent", [0, orjson.OPT_INDENT_2])
-def test_a_list_of_1024_with_repeats_cut_off_and_indented(indent: int) -> None:
-    """The last of several entries of one server holds; a list that was cut off is none."""
+def test_a_list_of_1024_servers_with_repeated_entries_is_decoded_and_a_truncated_one_raises(
+    indent: int,
+) -> None:
+    """The last of several entries of a server is used; a truncated list raises."""
     entries = [
         {
             "instanceId": f"s-{n % 1024}",
@@ -343,11 +354,11 @@
             decode_list(body[:end], NAMES)
 
 
-@pytest.mark.parametrize("figure", ["nan", "inf", "-1", "1e300", "x"])
-def test_a_report_that_is_no_number_is_none(figure: str) -> None:
+@pytest.mark.parametrize("value", ["nan", "inf", "-1", "1e300", "x"])
+def test_a_load_report_with_an_invalid_number_raises(value: str) -> None:
     assert decode_report(b"PONG x0=0.5\r\n", ("x0",)) == (0.5,)
     with pytest.raises(ValueError, match=r"x0|could not convert"):
-        decode_report(f"PONG x0={figure}\r\n".encode(), ("x0",))
+        decode_report(f"PONG x0={value}\r\n".encode(), ("x0",))
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b'{"generation":1,"reset":true,"instances":[{}]}'])
@@ -358,10 +369,10 @@
 
 def test_a_line_over_the_limit_raises() -> None:
     async def main() -> None:
-        ours, theirs = trio.socket.socketpair()
-        await theirs.send(b"x" * 5000)
+        own_socket, peer_socket = trio.socket.socketpair()
+        await peer_socket.send(b"x" * 5000)
         with pytest.raises(LineError):
-            await LineStream(trio.SocketStream(ours)).read_complete_lines()
+            await LineStream(trio.SocketStream(own_socket)).read_complete_lines()
 
     trio.run(main)
 
@@ -371,7 +382,7 @@
 CLOSING_ANSWER = ANSWER.replace("OK\\r\\n", "OK\\r\\nConnection: close\\r\\n")
 EXPECT_WATCH = "expect GET /registry/instances?index=0&wait=0 HTTP/1.1\n"
 EXPECT_WHOLE_LIST = "expect GET /registry/instances HTTP/1.1\n"
-# An empty line reads as EOF does.
+# The empty line at the end of the head is received as EOF.
 EXPECT_REST_OF_HEAD = "s{0} expect Host: *\ns{0} expect EOF\n"
 WATCHES = {
     "the next call follows at once, on the same connection": f"""
@@ -464,13 +475,14 @@
     run_watch(script)
 
 
-def test_a_balancer_among_many_reopens_a_silent_watch_before_what_it_missed_counts_as_known() -> None:
-    """Seen in the scenario join, seed 13478303390: three requests went to draining servers.
+def test_one_of_many_balancers_reopens_a_silent_watch_before_missed_changes_count_as_notified() -> None:
+    """A late next call after silent watches let requests reach draining servers.
 
-    17 watches fell silent. Changes count as known 6 s later; the next call came 4 to 12 s after the stall, as
-    after a failed call.
+    In the scenario join, seed 13478303390, 17 watches fell silent and three requests went to draining
+    servers. Changes count as notified after 6 s, but the next call came 4 to 12 s after the stall, as after a
+    failed call.
     """
-    # The first call comes within 8 s, each stall is seen 3.8 s after its call.
+    # The first call comes within 8 s, and each stall is detected 3.8 s after its call.
     run_watch(
         f"wait 11850\nwithin 10 s1 {EXPECT_WATCH} within 10 s2 {EXPECT_WATCH}",
         balancer_count=200,
@@ -504,20 +516,20 @@
 
 @pytest.mark.parametrize("script", PUSHED_WATCHES.values(), ids=PUSHED_WATCHES.keys())
 def test_the_watch_of_a_pushed_endpoint_list(script: str) -> None:
-    """Seen on a site with pushed lists: no call was made, and 66 requests went to servers that drained."""
+    """On a site with pushed lists no call was made, and 66 requests went to draining servers."""
     run_watch(script, polls_endpoint_list=False)
 
 
 def run_watch(script: str, polls_endpoint_list: bool = True, **changes: object) -> None:
     async def start_watcher(world: scenario.World) -> None:
-        async def take_connection(stream: trio.SocketStream) -> None:
+        async def accept_connection(stream: trio.SocketStream) -> None:
             world.take(LinePeer(stream))
             await trio.sleep_forever()
 
         async def change_discovery(crossing: str) -> None:
-            """Change it now or, where it is to cross, in the tick in which the watcher wakes next."""
+            """Change the address now or, with `crossing`, in the tick in which the watcher wakes next."""
             (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
-            world.nursery.start_soon(trio.serve_listeners, take_connection, [listener])
+            world.nursery.start_soon(trio.serve_listeners, accept_connection, [listener])
             change = partial(watcher.change_discovery, listener.socket.getsockname())
             if crossing:
                 scenario.BeforeStep("EndpointWatcher.run", change)
@@ -525,7 +537,7 @@
                 change()
 
         (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
-        world.nursery.start_soon(trio.serve_listeners, take_connection, [listener])
+        world.nursery.start_soon(trio.serve_listeners, accept_connection, [listener])
         watcher = EndpointWatcher(world.engine, listener.socket.getsockname(), NAMES)
         world.verbs["change_discovery"] = change_discovery
         watcher.load_cached(b"no list")
@@ -534,7 +546,7 @@
     scenario.run(script, start_watcher, (), polls_endpoint_list=polls_endpoint_list, **changes)
 
 
-def test_a_list_that_a_process_had_before_it_could_read_it_has_a_shorter_lease() -> None:
+def test_a_list_that_is_old_when_it_is_loaded_has_a_shorter_lease() -> None:
     async def main() -> None:
         limits = {"polls_endpoint_list": True, "max_list_age_ms": 6000.0, "drain_grace_ms": 500.0}
         engine = Engine(settings(**limits), 1)
@@ -545,8 +557,8 @@
     trio.run(main)
 
 
-def test_a_list_of_1024_servers_is_taken_whole_by_one_of_1024_balancers() -> None:
-    """No bound below what the largest fleets have: every entry has its address and can be chosen."""
+def test_one_of_1024_balancers_uses_a_list_of_1024_servers_whole() -> None:
+    """No limit is below the size of the largest fleets: every entry has an address and can be chosen."""
 
     async def main() -> None:
         engine = Engine(
--- a/tests/soak_plants/plants.py
+++ b/tests/soak_plants/plants.py
@@ -60,8 +60,8 @@
     Plant(
         "the deadline counts 1 s later",
         "frontends/line/request_lifecycle.py",
-        "engine.now() + request_line.patience_ms - ANSWER_MARGIN_MS",
-        "engine.now() + request_line.patience_ms + 1000.0",
+        "engine.now() + request_line.request_timeout_ms - ANSWER_MARGIN_MS",
+        "engine.now() + request_line.request_timeout_ms + 1000.0",
     ),
     Plant(
         "a rejected client is closed without an answer",
@@ -96,8 +96,8 @@
     Plant(
         "no MOVE at a shutdown",
         "frontends/line/relay.py",
-        "        is_moved = self._is_migrating or ended_by_shutdown\n",
-        "        is_moved = False\n",
+        "        must_reconnect = self._is_migrating or ended_by_shutdown\n",
+        "        must_reconnect = False\n",
     ),
     Plant("a shutdown reckons with a later SIGKILL", "shutdown.py", "KILL_S = 0.7", "KILL_S = 3.0"),
     Plant(
--- a/tests/test_rare.py
+++ b/tests/test_rare.py
@@ -426,7 +426,7 @@
                 for _ in range(int(times)):
                     world.engine._act(MigrateConnection(1))
 
-            scenario.BeforeStep("Relay._run_until_first_end", migrate)
+            scenario.BeforeStep("Relay._run_relay_task", migrate)
 
         async def migrate_now(_arguments: str) -> None:
             world.engine._act(MigrateConnection(1))
--- a/walkloom/frontends/__init__.py
+++ b/walkloom/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""The frontends: each speaks one protocol with clients and servers, all on one engine and its rules."""
+"""Frontends: each speaks one protocol with clients and servers; all use the same engine and policy."""
--- a/walkloom/frontends/line/connection_shutdown.py
+++ b/walkloom/frontends/line/connection_shutdown.py
@@ -1,7 +1,7 @@
-"""Stage 7: how client connections end.
+"""Stage 7: end client connections.
 
-One owner for the answer to a request that was not served, for client connections without a request, for those
-that were relayed, and for all of them when the balancer shuts down.
+This module alone answers requests that were not served, closes client connections that have no request or
+were relayed, and ends all client connections when the balancer shuts down.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from walkloom.transport.descriptor_limit import DescriptorLimit
 from walkloom.transport.line_stream import LineStream
 
-# When to come back to a balancer that has no descriptor left.
+# Retry-after of a rejection by a balancer that has no descriptor left.
 NO_DESCRIPTOR_RETRY_AFTER_MS = 500.0
 
-# For an answer to go out, and for its client to end its side.
+# For sending an answer, and for the client to end its side after it.
 ANSWER_TIMEOUT_S = 1.0
 
-# At a shutdown, what has come by then is still read and answered.
+# At a shutdown, input that has already arrived is still read and answered.
 LAST_READ_GRACE_S = 0.05
 
 ERR = b"ERR\r\n"
@@ -32,23 +32,23 @@
 
 
 class ConnectionShutdown:
-    """Ends client connections, and knows which stages of them are open.
+    """Ends client connections, and tracks which of their stages are open.
 
-    All times are those of trio's clock, in seconds.
+    All points in time are on trio's clock, in seconds.
     """
 
     def __init__(self, descriptor_limit: DescriptorLimit) -> None:
-        """Descriptors of connections that are about to end can be reclaimed through `descriptor_limit`."""
+        """Descriptors of connections that are idle or about to end are reclaimable in `descriptor_limit`."""
         self._descriptor_limit = descriptor_limit
-        # The open stages of client connections, and what each may last after the shutdown's start.
+        # The open stages of client connections, and how long each may run after a shutdown starts.
         self._grace_s_by_scope = dict[trio.CancelScope, float]()
         self._shutdown_started_at_s = math.inf
         self._exit_at_s = math.inf
         self._all_closed = trio.Event()
-        # Scope of the listener's loop.
-        self.accepting = trio.CancelScope()
-        # Set by the listener after that scope: every client connection that came in time has its task.
-        self.accepted = trio.Event()
+        # Cancel scope of the listener's accept loop.
+        self.accept_scope = trio.CancelScope()
+        # Set by the listener after that scope has ended: every queued client connection has its task.
+        self.all_accepted = trio.Event()
 
     @contextmanager
     def cancelled_at_shutdown(
@@ -56,12 +56,12 @@
     ) -> Iterator[trio.CancelScope]:
         """Run a stage of a client connection that a shutdown cancels.
 
-        It ends `grace_s` after the shutdown's start, or when the process is to exit, or `timeout_s` after its
-        own start, whichever comes first. The caller still answers the client.
+        The stage is cancelled `grace_s` after the shutdown starts, when the process must exit, or `timeout_s`
+        after the stage itself started, whichever comes first. The caller still has to answer the client.
         """
         with trio.CancelScope(deadline=trio.current_time() + timeout_s) as scope:
             self._grace_s_by_scope[scope] = grace_s
-            # The shutdown may have started before this stage.
+            # The shutdown may already have started.
             self._limit_to_shutdown(scope)
             try:
                 yield scope
@@ -75,8 +75,8 @@
         scope.deadline = min(scope.deadline, grace_ends_at_s, self._exit_at_s)
 
     @contextmanager
-    def idle(self) -> Iterator[trio.CancelScope]:
-        """Run the stage without a request; also cancelled if its descriptor is needed elsewhere."""
+    def idle_stage(self) -> Iterator[trio.CancelScope]:
+        """Run the stage before a request; it is also cancelled if its descriptor is needed elsewhere."""
         with (
             self.cancelled_at_shutdown(LAST_READ_GRACE_S) as scope,
             self._descriptor_limit.reclaimable(scope),
@@ -84,14 +84,14 @@
             yield scope
 
     async def send_answer(self, client: LineStream, answer: Reject | Fail) -> None:
-        """Send the final answer of a request that was not served, also during a shutdown, and close."""
+        """Send the final answer to a request that was not served, also during a shutdown, and close."""
         await self._send_last_line(client, _encode_answer(answer))
 
     async def close_idle(self, client: LineStream, scope: trio.CancelScope) -> None:
-        """End a client connection without a request, after its stage `idle` with this scope.
+        """End a client connection that has no request; `scope` is that of its `idle_stage`.
 
-        Closing over a request that is just arriving would reset the connection, and its client could not know
-        whether it ran. It reads `BUSY` first: nothing was forwarded.
+        Closing while a request is arriving would reset the connection, and the client could not tell whether
+        the request ran. Therefore the client is first sent `BUSY`: nothing was forwarded.
         """
         is_reclaimed = scope.cancelled_caught and trio.current_time() < self._shutdown_started_at_s
         if is_reclaimed:
@@ -102,43 +102,43 @@
     async def _close_reclaimed(self, client: LineStream) -> None:
         """Answer without waiting for the client to end its side: the descriptor is needed at once."""
         with self.cancelled_at_shutdown(math.inf, ANSWER_TIMEOUT_S), suppress(trio.BrokenResourceError):
-            # Unread input would turn the close into a reset, which can overtake the answer.
+            # Closing with unread input resets the connection, and the reset can overtake the answer.
             await client.drain()
             await client.send(BUSY_WITH_RETRY_AFTER % NO_DESCRIPTOR_RETRY_AFTER_MS)
             await client.send_eof()
 
-    async def close_relayed(self, client: LineStream, owes_move: bool) -> None:
-        """End a client connection after its relay, with a `MOVE` where it is owed.
+    async def close_relayed(self, client: LineStream, must_send_move: bool) -> None:
+        """End a client connection after its relay, with a `MOVE` if one must be sent.
 
-        What the relay left of a half-sent line goes out first.
+        The rest of a line that the relay has sent in part goes out first.
         """
-        await self._send_last_line(client, MOVE if owes_move else b"")
+        await self._send_last_line(client, MOVE if must_send_move else b"")
 
     async def _send_last_line(self, client: LineStream, line: bytes) -> None:
         with (
             self.cancelled_at_shutdown(math.inf, ANSWER_TIMEOUT_S) as scope,
             self._descriptor_limit.reclaimable(scope),
         ):
-            # Also without a line: sending flushes what a cancelled task has left.
+            # Also for an empty line: sending flushes what a cancelled task has left unsent.
             with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
                 await client.send(line)
             await client.close_gently()
 
     async def shut_down(self, exit_at_s: float) -> None:
-        """End all client connections, and return once they have their answers, or at `exit_at_s`.
+        """End all client connections, and return once all are answered, or at `exit_at_s`.
 
-        Connections in the listener's queue are accepted, and what they have sent is read. Stages that wait
-        are cancelled; the task of each connection then answers its client.
+        Connections in the listener's queue are accepted, and the input that they have sent is read. Waiting
+        stages are cancelled; the task of each connection then answers its client.
         """
-        # Both before the first cancellation: stages that start from now on take their deadline from them.
+        # Set both before the first cancellation: stages that start from now on are limited by them.
         self._shutdown_started_at_s = trio.current_time()
         self._exit_at_s = exit_at_s
-        self.accepting.cancel()
+        self.accept_scope.cancel()
         for scope in self._grace_s_by_scope:
             self._limit_to_shutdown(scope)
         with trio.move_on_at(exit_at_s):
-            # Before the open stages are counted: a connection from the queue may not have begun its first.
-            await self.accepted.wait()
+            # Wait before checking for open stages: a queued connection may not have one yet.
+            await self.all_accepted.wait()
             while self._grace_s_by_scope:
                 self._all_closed = trio.Event()
                 await self._all_closed.wait()
--- a/walkloom/frontends/line/errors.py
+++ b/walkloom/frontends/line/errors.py
@@ -3,8 +3,8 @@
 LineFrontendError
 └── RequestLineError
 
-A line over the protocol's length limit raises `walkloom.transport.line_stream.LineError`: either side may
-send one.
+A line over the protocol's length limit raises `walkloom.transport.line_stream.LineError`: both clients and
+servers may send one.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 
 class RequestLineError(LineFrontendError, ValueError):
-    """A request line that no client of the platform sends; its client is answered `ERR`.
+    """A request line that no client of the platform sends; the client is answered `ERR`.
 
-    The text says what is wrong, in one line for the log.
+    The message is one line for the log.
     """
 
     def __init__(self, reason: str, *, field: str | None = None, value: str | None = None) -> None:
-        """Name the offending field by its key on the wire, and its value; None if no one field is."""
+        """`field` is the wire key of the invalid field, `value` its value; None if it is no single field."""
         super().__init__(reason)
         self.field = field
         self.value = value
--- a/walkloom/frontends/line/listener.py
+++ b/walkloom/frontends/line/listener.py
@@ -1,4 +1,4 @@
-"""Stage 1: accept client connections, and give each a task of its own."""
+"""Stage 1: accept client connections, and start a task for each."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 log = logging.getLogger("walkloom")
 
-# Errors of accept() that mean: no descriptor or buffer is free. Closing an idle connection helps.
+# Errors of accept() that mean that no descriptor or buffer is free. Closing an idle connection frees one.
 RESOURCE_EXHAUSTED_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
-# After a failed accept(): long enough not to spin, short against the time that clients wait.
+# After a failed accept(): long enough to avoid a busy loop, short compared with the clients' timeouts.
 ACCEPT_RETRY_DELAY_S = 0.02
 
 
 async def accept(
     frontend: LineFrontend, address: tuple[str, int], task_status: trio.TaskStatus[list[trio.SocketListener]]
 ) -> None:
-    """Accept and serve client connections until the frontend's `connection_shutdown` ends the accepting.
+    """Accept and serve client connections until the frontend's `connection_shutdown` cancels the accept loop.
 
     Returns once the last accepted connection has ended. Raises ConfigError if the address cannot be used.
     """
@@ -33,13 +33,13 @@
     listener = listeners[0]
     async with trio.open_nursery() as nursery:
         task_status.started(listeners)
-        with frontend.connection_shutdown.accepting:
+        with frontend.connection_shutdown.accept_scope:
             await _accept_until_cancelled(frontend, listener, nursery)
-        # Closing the listener resets the connections in its queue, so that they are accepted first.
+        # Closing the listener resets the connections in its queue, so they are accepted first.
         await _accept_queued(frontend, listener, nursery)
         await listener.aclose()
-        # The shutdown waits for this before it looks for open connections: by now each one has its task.
-        frontend.connection_shutdown.accepted.set()
+        # The shutdown waits for this before it checks for open connections: now each of them has its task.
+        frontend.connection_shutdown.all_accepted.set()
 
 
 async def _open_listeners(address: tuple[str, int]) -> list[trio.SocketListener]:
@@ -58,7 +58,7 @@
         try:
             stream = await listener.accept()
         except OSError as error:
-            # It concerns one client, or will pass: the listener must survive it in both cases.
+            # It affects one client only, or is temporary: in both cases the listener must continue.
             failures.count(str(error))
             if error.errno in RESOURCE_EXHAUSTED_ERRNOS:
                 frontend.descriptor_limit.reclaim_oldest()
--- a/walkloom/frontends/line/placement.py
+++ b/walkloom/frontends/line/placement.py
@@ -1,4 +1,4 @@
-"""Stage 4: place a request; the engine commands, and attempts go out one after another."""
+"""Stage 4: place a request by carrying out the engine's commands, one attempt at a time."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 log = logging.getLogger("walkloom")
 
-# An adopted connection that is not up after 40 s is lost (page "Protocol", "Clients to balancers"): three
-# attempts of 10 s, each followed by 1 s, are over after 33 s.
+# An adopted connection that is not established within 40 s is lost (page "Protocol", "Clients to balancers").
+# Three attempts of 10 s, each followed by a delay of 1 s, end after 33 s.
 MAX_ADOPTION_ATTEMPTS = 3
 ADOPTION_ATTEMPT_TIMEOUT_MS = 10_000.0
 ADOPTION_RETRY_DELAY_S = 1.0
@@ -29,7 +29,7 @@
     request_line: RequestLine,
     connect_timeout_ms: float,
 ) -> EstablishedUpstream | Reject | Fail:
-    """Return the upstream connection that took a new request, or the policy's final answer."""
+    """Return the upstream connection established for a new request, or the policy's final answer."""
     while True:
         command = await handle.next_command()
         if isinstance(command, Reject | Fail):
@@ -56,16 +56,17 @@
             handle.report_ended(outcome)
 
 
-async def rejoin(
+async def reconnect_adopted(
     engine: Engine,
     watcher: EndpointWatcher,
     handle: RequestHandle,
     request_line: RequestLine,
     connect_timeout_ms: float,
 ) -> EstablishedUpstream | Fail:
-    """Return the upstream connection of an adopted connection, at the server where it was open before.
+    """Return the upstream connection for an adopted connection, to the server that had it before.
 
-    The policy has it as established from the start, and learns of it only if it cannot be had: then it ended.
+    The policy treats an adopted connection as established from the start. Only a failure is reported to it,
+    as the end of the connection.
     """
     for _ in range(MAX_ADOPTION_ATTEMPTS):
         give_up_at_ms = engine.now() + ADOPTION_ATTEMPT_TIMEOUT_MS
--- a/walkloom/frontends/line/relay.py
+++ b/walkloom/frontends/line/relay.py
@@ -1,4 +1,4 @@
-"""Stage 6: relay whole lines both ways until a side ends, falls silent, or the client is migrated."""
+"""Stage 6: relay whole lines both ways until a side ends, the server is silent, or the client is migrated."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 log = logging.getLogger("walkloom")
 
-# A server returns a line at once, clients send one every 2 s, and a connection to a silent server must be
-# ended within 7 s (page "Protocol", "Figures"): at most 2 s until a line comes, and 4 s after it, are 6 s.
+# Servers return each line at once, and clients send one every 2 s. A connection to a silent server must end
+# within 7 s (page "Protocol", "Figures"): at most 2 s until the next line, and 4 s after it, are 6 s.
 SILENCE_TIMEOUT_MS = 4000.0
 
 # How often a connection is checked for silence.
 SILENCE_CHECK_INTERVAL_S = 0.25
 
-# The word before a connection's load among a server's lines.
+# First word of a server's line that reports the connection's load.
 LOAD = b"LOAD"
 
-# The words that announce the end of a server's connection, and how it ended then.
+# First words of lines by which a server announces the end of the connection, and the status that follows.
 STATUS_BY_CLOSING_WORD = {b"BYE": AttemptStatus.OK, b"MOVE": AttemptStatus.CANCELLED}
 
-# The log's words for statuses where they are not the names.
+# Names of statuses in the log, where they differ from the members' names.
 LOG_WORD_BY_STATUS = {AttemptStatus.CONNECTION_RESET: "RESET"}
 
-# One for all connections: what clients send is logged once a second at most, however many they are.
+# Shared by all connections: malformed lines are logged once a second at most, whatever the number of clients.
 _malformed_client_lines = RateLimitedLog("client_line_malformed")
 
 
@@ -39,48 +39,48 @@
     """An established connection between one client and one server."""
 
     def __init__(self, handle: RequestHandle, client: LineStream, upstream: LineStream) -> None:
-        """Take over the upstream connection, which `run` closes; the client's remains the caller's."""
+        """`run` closes `upstream`; the caller closes `client`."""
         self._handle = handle
         self._client = client
         self._upstream = upstream
         self._status = AttemptStatus.CANCELLED
-        # First word of the newest line from the server: BYE or MOVE explain the end that follows.
+        # First word of the server's latest line: BYE and MOVE give the reason for the end that follows.
         self._last_upstream_word = b""
         self._is_migrating = False
-        # Which part of the relay ended it, for the log.
+        # Which task ended the relay, for the log.
         self._end_reason = "cancelled"
 
     async def run(self, receipt_line: bytes) -> None:
-        """Send the client the server's receipt line, relay until the end, and report how it ended."""
+        """Send the client the server's receipt line, relay until one side ends, and report the status."""
         try:
             await self._client.send(receipt_line)
             async with trio.open_nursery() as nursery:
-                for part, end_reason in (
+                for relay_task, end_reason in (
                     (self._forward_to_upstream, "client_ended"),
                     (self._forward_to_client, "endpoint_ended"),
                     (self._wait_for_migration, "migrated"),
                     (self._wait_for_silence, "endpoint_silent"),
                 ):
-                    nursery.start_soon(self._run_until_first_end, part, end_reason, nursery.cancel_scope)
+                    nursery.start_soon(self._run_relay_task, relay_task, end_reason, nursery.cancel_scope)
         except trio.BrokenResourceError:
-            # The client left while its receipt line was on the way.
+            # The client left before its receipt line was sent.
             self._status = AttemptStatus.CANCELLED
             self._end_reason = "client_left"
         finally:
-            # Reported before any wait: a client that has left, but whose connection takes a while to close,
-            # must not be chosen for migration meanwhile.
+            # Reported before any await: a client that has left, but whose connection takes a while to close,
+            # must not be chosen for migration.
             self._report_end()
             with trio.CancelScope(shield=True):
                 await self._upstream.close()
 
-    def owes_move(self, ended_by_shutdown: bool) -> bool:
+    def must_send_move(self, ended_by_shutdown: bool) -> bool:
         """Return whether the client must still be sent `MOVE`.
 
-        A shutdown ends the relays that are left after all migrations. Where the server has just sent `BYE` or
-        a `MOVE` of its own, the client knows, and expects no other line.
+        A shutdown ends the relays that remain after all migrations. If the server's last line was `BYE` or a
+        `MOVE` of its own, the client is already informed, and expects no further line.
         """
-        is_moved = self._is_migrating or ended_by_shutdown
-        return is_moved and self._last_upstream_word not in STATUS_BY_CLOSING_WORD
+        must_reconnect = self._is_migrating or ended_by_shutdown
+        return must_reconnect and self._last_upstream_word not in STATUS_BY_CLOSING_WORD
 
     def _report_end(self) -> None:
         log.info(
@@ -92,14 +92,14 @@
         )
         self._handle.report_ended(self._status, closed=True)
 
-    async def _run_until_first_end(
-        self, part: Callable[[], Awaitable[AttemptStatus]], end_reason: str, scope: trio.CancelScope
+    async def _run_relay_task(
+        self, relay_task: Callable[[], Awaitable[AttemptStatus]], end_reason: str, scope: trio.CancelScope
     ) -> None:
-        """Run one part; the first to end decides how the connection ended, and cancels the others."""
+        """Run one task of the relay; the first to end sets the status and cancels the others."""
         try:
-            self._status = await part()
+            self._status = await relay_task()
         except trio.ClosedResourceError:
-            # Another part has reset this side, and returns the status itself.
+            # Another task has reset this side, and returns the status itself.
             return
         if not scope.cancel_called:
             self._end_reason = end_reason
@@ -108,17 +108,17 @@
     async def _forward_to_upstream(self) -> AttemptStatus:
         try:
             while lines := await self._client.read_complete_lines():
-                # Before the send, which may block: a server that reads nothing is silent from here on.
+                # Before the send, which may block: a server that reads nothing counts as silent from now on.
                 for _ in range(lines.count(b"\n")):
                     self._handle.record_line_forwarded()
                 await self._send_upstream(lines)
             await self._upstream.send_eof()
-            # The server's last lines still go down to the client.
+            # The server's last lines are still forwarded to the client.
             await trio.sleep(LINGER_S)
         except LineError as error:
             _malformed_client_lines.count(f"request {self._handle.id}: {error}")
         except trio.BrokenResourceError:
-            # The client's reset is passed on as a reset.
+            # A reset by the client is forwarded as a reset.
             await self._upstream.reset()
         return AttemptStatus.CANCELLED
 
@@ -126,8 +126,8 @@
         try:
             await self._upstream.send(lines)
         except trio.BrokenResourceError:
-            # Ending here would hide lines that the server sent before it broke the connection, and why: the
-            # other direction reads both, and then ends the relay.
+            # Ending the relay here would lose the lines that the server sent before the connection broke, and
+            # the reason. The other direction reads both, and then ends the relay.
             await trio.sleep_forever()
 
     async def _forward_to_client(self) -> AttemptStatus:
@@ -142,7 +142,7 @@
         except LineError as error:
             log.warning("upstream_malformed endpoint=%s error=%r", self._handle.endpoint_id, str(error))
         except trio.BrokenResourceError:
-            # The server's reset is passed on as a reset.
+            # A reset by the server is forwarded as a reset.
             await self._client.reset()
             return AttemptStatus.CONNECTION_RESET
         if self._client.ended:
--- a/walkloom/frontends/line/request_lifecycle.py
+++ b/walkloom/frontends/line/request_lifecycle.py
@@ -1,6 +1,6 @@
-"""Stage 3: the path of one request, from the first line of its connection to its end, in one task.
+"""Stage 3: serve one request in one task, from the first line of its connection to its end.
 
-Read `serve_connection` first. On every path one final answer goes out, and none for a client that has left.
+Read `serve_connection` first. Every path sends exactly one final answer, or none if the client has left.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from walkloom.engine.engine import Engine, RequestHandle
 from walkloom.frontends.line.connection_shutdown import NO_DESCRIPTOR_RETRY_AFTER_MS, ConnectionShutdown
 from walkloom.frontends.line.errors import RequestLineError
-from walkloom.frontends.line.placement import place, rejoin
+from walkloom.frontends.line.placement import place, reconnect_adopted
 from walkloom.frontends.line.relay import Relay
 from walkloom.frontends.line.request_line import MAX_SHOWN_CHARACTERS, RequestLine, read_request_line
 from walkloom.frontends.line.upstream import EstablishedUpstream
@@ -26,19 +26,19 @@
 
 log = logging.getLogger("walkloom")
 
-# Connections that were open before the start are adopted for so long after it. Those that are not up after
-# 40 s are lost in any case (page "Protocol", "Clients to balancers").
+# Connections that were open before the balancer started are adopted for this time after its start. Those that
+# are not established within 40 s are lost in any case (page "Protocol", "Clients to balancers").
 ADOPTION_WINDOW_MS = 60_000.0
 
-# Taken off the time that a client waits: its line takes a while to come here, and the answer to go back.
+# Subtracted from the client's timeout: the network delays the request line and the answer.
 ANSWER_MARGIN_MS = 20.0
 
-# The answer to a client for whose connections no descriptor is left.
+# The answer to a client when no descriptor is left for its connection or its upstream connection.
 REJECT_WITHOUT_DESCRIPTOR = Reject(None, NO_DESCRIPTOR_RETRY_AFTER_MS, AnswerReason.NO_DESCRIPTOR)
 
 
 class LineFrontend:
-    """What all connections of this frontend share."""
+    """State that all connections of this frontend share."""
 
     def __init__(
         self,
@@ -46,32 +46,37 @@
         watcher: EndpointWatcher,
         names: SettingNames,
         connect_timeout: float,
-        longest: float,
+        longest_deadline_ms: float,
         descriptor_limit: DescriptorLimit,
     ) -> None:
-        """Both times are in ms: the most for connecting to a server, and the most that a client may wait."""
+        """Create the state; durations are in ms.
+
+        `connect_timeout` bounds connecting to a server, and `longest_deadline_ms` the timeout of a request.
+        """
         self.engine = engine
         self.watcher = watcher
         self.names = names
         self.connect_timeout_ms = connect_timeout
-        self.max_patience_ms = longest
+        self.max_request_timeout_ms = longest_deadline_ms
         self.descriptor_limit = descriptor_limit
         self.connection_shutdown = ConnectionShutdown(descriptor_limit)
-        # The wire's ids of all requests and established connections.
+        # Wire ids of all requests and established connections.
         self.open_request_ids = set[str]()
         self.malformed_requests = RateLimitedLog("request_malformed")
         self._adoption_ends_at_ms = engine.now() + ADOPTION_WINDOW_MS
 
     def validate(self, request_line: RequestLine) -> None:
-        """Raise RequestLineError for a line that is well-formed, and yet comes from no client now."""
+        """Raise RequestLineError for a well-formed line that is not valid in the current state."""
         if request_line.id in self.open_request_ids:
-            raise RequestLineError(f"id {request_line.id} is open", field="id", value=request_line.id)
+            raise RequestLineError(
+                f"id {request_line.id} is already in use", field="id", value=request_line.id
+            )
         endpoint_id = request_line.adopted_endpoint_id
         if endpoint_id is None:
-            # The platform sends new requests only once all connections that were open before are back.
+            # The platform sends new requests only after all earlier connections have reconnected.
             self._adoption_ends_at_ms = 0.0
         elif self.engine.now() >= self._adoption_ends_at_ms or not self.watcher.address(endpoint_id):
-            reason = f"no connection to adopt at {endpoint_id[:MAX_SHOWN_CHARACTERS]}"
+            reason = f"cannot adopt a connection to {endpoint_id[:MAX_SHOWN_CHARACTERS]}"
             raise RequestLineError(reason, field="at", value=endpoint_id)
 
 
@@ -92,17 +97,17 @@
 
 
 async def _receive_request_line(frontend: LineFrontend, client: LineStream) -> RequestLine | None:
-    """Return a valid request line; None if there is none, and then the client has its answer."""
+    """Return a valid request line, or None once a client without one has its answer or has left."""
     try:
         request_line = None
-        with frontend.connection_shutdown.idle() as idle_scope:
-            request_line = await read_request_line(client, frontend.names, frontend.max_patience_ms)
+        with frontend.connection_shutdown.idle_stage() as idle_scope:
+            request_line = await read_request_line(client, frontend.names, frontend.max_request_timeout_ms)
         if request_line is None:
             await frontend.connection_shutdown.close_idle(client, idle_scope)
             return None
         if client.has_buffered_input:
-            # Clients wait for their answer. Checked before `validate`, which ends the time for adoptions.
-            raise RequestLineError("more than one command")
+            # Clients must wait for their answer. Checked before `validate`, which ends the adoption window.
+            raise RequestLineError("more input after the request line")
         frontend.validate(request_line)
     except (LineError, RequestLineError) as error:
         frontend.malformed_requests.count(str(error))
@@ -138,7 +143,7 @@
         )
     return engine.submit(
         request_line.request_class,
-        engine.now() + request_line.patience_ms - ANSWER_MARGIN_MS,
+        engine.now() + request_line.request_timeout_ms - ANSWER_MARGIN_MS,
         tenant=request_line.tenant,
         client_key=request_line.client_key,
         affinity_group=request_line.affinity_group,
@@ -150,30 +155,30 @@
 
 @dataclass(slots=True)
 class _Placement:
-    """How far placing a request has come.
+    """Progress of placing a request.
 
-    It outlives the nursery that fills it: a shutdown may cancel that nursery after a server has taken the
-    connection, and the outcome must not be lost with it.
+    It outlives the nursery that sets it: a shutdown may cancel that nursery after a server has accepted the
+    connection, and the outcome must not be lost.
     """
 
-    # None: not known yet.
+    # None: not decided yet.
     outcome: EstablishedUpstream | Reject | Fail | None = None
 
-    # The client has sent something more, although it has no answer yet.
+    # The client has sent more input before its answer.
     client_sent_input: bool = False
 
 
 async def _place_while_client_waits(
     frontend: LineFrontend, client: LineStream, handle: RequestHandle, request_line: RequestLine
 ) -> EstablishedUpstream | Reject | Fail | None:
-    """Place the request; None if its client left meanwhile. A shutdown ends the attempt that is out."""
+    """Place the request; None if the client left meanwhile. A shutdown cancels the attempt in flight."""
     placement = _Placement()
     try:
         with frontend.connection_shutdown.cancelled_at_shutdown() as shutdown_scope:
             await _race_placement_with_client(frontend, client, handle, request_line, placement)
         if shutdown_scope.cancelled_caught and placement.outcome is None:
             return handle.withdraw()
-    except Exception:  # Whatever broke, the client is owed its one final answer.
+    except Exception:  # Whatever failed, the client must get its one final answer.
         log.exception("request_error id=%s", request_line.id)
         placement.outcome = Fail(handle.id, AnswerReason.INTERNAL_ERROR)
         handle.report_ended(AttemptStatus.ERROR, closed=True)
@@ -189,13 +194,13 @@
     request_line: RequestLine,
     placement: _Placement,
 ) -> None:
-    """Place the request until that ends, or until its client leaves or sends more."""
+    """Place the request; cancel that if the client leaves or sends more input."""
 
     async def cancel_on_client_input() -> None:
         placement.client_sent_input = await client.wait_for_input()
         nursery.cancel_scope.cancel()
 
-    place_request = place if request_line.adopted_endpoint_id is None else rejoin
+    place_request = place if request_line.adopted_endpoint_id is None else reconnect_adopted
     async with trio.open_nursery() as nursery:
         nursery.start_soon(cancel_on_client_input)
         placement.outcome = await place_request(
@@ -207,16 +212,16 @@
 def _abandon_placement(
     frontend: LineFrontend, handle: RequestHandle, request_line: RequestLine, client_sent_input: bool
 ) -> Fail | None:
-    """End a request whose client did not wait for the answer; return the answer to a client that is there."""
+    """End a request whose client did not wait; return the answer if the client is still connected."""
     answer = None
     if client_sent_input:
-        # Input before the answer is no line of an established connection, and must not reach a server.
-        frontend.malformed_requests.count("a command before the answer to the first")
+        # Input before the answer does not belong to an established connection: it must not reach a server.
+        frontend.malformed_requests.count("input before the answer to the request")
         answer = Fail(handle.id, AnswerReason.MALFORMED)
     log.info(
         "client_disconnected id=%s request=%d attempts=%d", request_line.id, handle.id, handle.attempt + 1
     )
-    # The first drops a request that still waits for an attempt; the second ends the attempt that is out.
+    # The first call drops a request that waits for an attempt; the second ends an attempt in flight.
     handle.report_client_disconnected()
     handle.report_ended(AttemptStatus.CANCELLED, closed=True)
     return answer
@@ -241,8 +246,8 @@
     relay = Relay(handle, client, established.stream)
     with frontend.connection_shutdown.cancelled_at_shutdown() as shutdown_scope:
         await relay.run(established.receipt_line)
-    owes_move = relay.owes_move(ended_by_shutdown=shutdown_scope.cancelled_caught)
-    await frontend.connection_shutdown.close_relayed(client, owes_move=owes_move)
+    must_send_move = relay.must_send_move(ended_by_shutdown=shutdown_scope.cancelled_caught)
+    await frontend.connection_shutdown.close_relayed(client, must_send_move=must_send_move)
 
 
 async def _answer_unserved(
--- a/walkloom/frontends/line/upstream.py
+++ b/walkloom/frontends/line/upstream.py
@@ -1,4 +1,4 @@
-"""Stage 5: make one attempt at one server, and map what comes back to its outcome."""
+"""Stage 5: make one attempt on one server, and map the server's answer to the outcome."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 log = logging.getLogger("walkloom")
 
-# The first word of the line with which a server takes a connection.
+# First word of the line by which a server accepts a connection.
 UP = b"UP"
 
-# The other first words of a server's answer (page "Protocol", "Balancers to tile servers").
+# Other first words of a server's answer (page "Protocol", "Balancers to tile servers").
 STATUS_BY_WORD = {
     b"BYE": AttemptStatus.OK,
     b"MOVE": AttemptStatus.CANCELLED,
@@ -25,18 +25,18 @@
     b"BUSY": AttemptStatus.AT_CAPACITY,
 }
 
-# How much of a line outside the protocol is logged, bytes.
+# Longest part of an unknown line that is logged.
 MAX_LOGGED_BYTES = 80
 
 
 @dataclass(frozen=True, slots=True)
 class EstablishedUpstream:
-    """A connection that a server has taken."""
+    """A connection that a server has accepted."""
 
-    # The connection to the server, behind the receipt line.
+    # The connection to the server; the receipt line is already read from it.
     stream: LineStream
 
-    # The server's whole `UP RECEIPT` line; the client must get it unchanged.
+    # The server's whole `UP RECEIPT` line, which must be forwarded unchanged.
     receipt_line: bytes
 
 
@@ -48,10 +48,10 @@
     give_up_at_ms: float,
     connect_timeout_ms: float,
 ) -> EstablishedUpstream | AttemptStatus:
-    """Connect to a server, send it the request line, and wait for its first answer.
+    """Connect to a server, send it the request line, and wait for its answer.
 
     A connection that was not established is closed on return. `address` is None for a server that is no
-    longer listed; `give_up_at_ms`, a time of the engine's clock, bounds the attempt as a whole.
+    longer listed. `give_up_at_ms`, a time on the engine's clock, is the deadline of the whole attempt.
     """
     if address is None:
         return AttemptStatus.CONNECT_FAILED
@@ -59,7 +59,7 @@
     try:
         upstream = await _connect(address, timeout_ms)
     except OSError as error:
-        # This process lacks a descriptor: with CONNECT_FAILED the policy would blame a sound server.
+        # This process has no free descriptor: CONNECT_FAILED would count against a healthy server.
         log.error("attempt_not_sent endpoint=%s error=%r", handle.endpoint_id, str(error))
         return AttemptStatus.NOT_SENT
     if upstream is None:
@@ -70,7 +70,7 @@
         is_established = isinstance(outcome, EstablishedUpstream)
         return outcome
     finally:
-        # Also when cancelled, and before the next attempt goes out: two must never be out at once.
+        # Also when cancelled, and before the next attempt: two attempts must never be in flight at once.
         if not is_established:
             await upstream.close()
 
@@ -88,8 +88,8 @@
     upstream: LineStream,
     give_up_at_ms: float,
 ) -> EstablishedUpstream | AttemptStatus:
-    # Connecting took time: the deadline may have passed, a drain have begun, or the deduplication window
-    # closed. The policy is therefore asked once more, as late as possible.
+    # While connecting, the deadline may have passed, a drain may have begun, or the deduplication window
+    # may have ended. Therefore the policy is asked once more, as late as possible.
     remaining_ms = give_up_at_ms - engine.now()
     if remaining_ms <= 0:
         return AttemptStatus.NOT_SENT
@@ -105,7 +105,7 @@
     try:
         await upstream.send(request_line.for_upstream(remaining_ms))
     except trio.BrokenResourceError:
-        # The line's last byte was not written, so that the server cannot have run it.
+        # The line's last byte was not written, so the server cannot have run the request.
         return AttemptStatus.CONNECT_FAILED
     return await _read_answer(handle, upstream, remaining_ms)
 
