--- a/tests/frontends/line/harness.py
+++ b/tests/frontends/line/harness.py
@@ -1,4 +1,4 @@
-"""The line frontend between scripted clients and servers on loopback, for scenarios (tests/scenario.py)."""
+"""Runs the line frontend between scripted clients and servers on loopback, for tests/scenario.py."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 OPEN = "OPEN 9b1f 7f3a c=chat,t=acme,d=2000,g=5c0f"
 OTHER_OPEN = "OPEN aa 7f3a c=chat,t=acme,d=2000,g=5c0f"
 
-# The beginning of a script: the client c has a connection, established at the server connection s1.
+# Start of a script: client c has a connection that is established over the server connection s1.
 ESTABLISHED = f"""
     c send {OPEN}
     s1 expect OPEN 9b1f 7f3a c=chat,t=acme,d=*,g=5c0f
@@ -26,18 +26,18 @@
     c expect UP 77
 """
 
-# The line that a flood consists of.
+# Sent again and again by a flood.
 FLOOD_LINE = "LOAD 1 " + "x" * 1000
 
-# How long a flood goes on; both sides' buffers are full before.
-FLOOD_S = 1.0
+# Long enough to fill the buffers of both sides.
+FLOOD_DURATION_S = 1.0
 
-# Descriptors of the process where a scenario does not limit them.
-DEFAULT_SOCKETS = 1024
+# Descriptor limit where a scenario sets none.
+DEFAULT_DESCRIPTORS = 1024
 
 
 class LinePeer:
-    """One side of a scripted connection; it speaks lines, and reads a closed connection as EOF or RESET."""
+    """One side of a scripted connection; sends and receives lines, and reads its end as EOF or RESET."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.lines = LineStream(stream)
@@ -46,17 +46,17 @@
         await self.part(text + r"\r\n")
 
     async def part(self, text: str) -> None:
-        r"""Send text without a line's end; escapes such as \r\n stand for what they name."""
+        r"""Send text without adding a line end; escapes such as \r\n in it are decoded."""
         await self.lines.send(text.encode().decode("unicode_escape").encode())
 
     async def flood(self) -> None:
-        """Send until nothing more is taken."""
-        with trio.move_on_after(FLOOD_S):
+        """Send lines until no more are accepted."""
+        with trio.move_on_after(FLOOD_DURATION_S):
             while True:
                 await self.send(FLOOD_LINE)
 
     async def flooded(self, expected_last: str) -> None:
-        """Read a flood, and the one line behind it."""
+        """Read a flood and the one line after it."""
         while (line := await self.receive()) == FLOOD_LINE:
             pass
         assert line == expected_last, f"got {line[:80]!r}"
@@ -64,7 +64,7 @@
     async def receive(self) -> str:
         try:
             line = await self.lines.read_line()
-            # Half a line before the end reads as one, too.
+            # An incomplete line before the end is returned as a line.
             line = line or await self.lines.read_complete_lines()
         except trio.BrokenResourceError:
             return "RESET"
@@ -78,10 +78,10 @@
 
 
 async def start_servers(world: scenario.World) -> bytes:
-    """Start two scripted servers, a and b; return the endpoint list that names them."""
+    """Start two scripted servers, a and b, and return an endpoint list of them."""
     world.servers = ("a", "b")
 
-    async def take_connection(stream: trio.SocketStream) -> None:
+    async def accept_connection(stream: trio.SocketStream) -> None:
         world.take(LinePeer(stream))
         await trio.sleep_forever()
 
@@ -89,17 +89,17 @@
     for name in world.servers:
         (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
         world.listeners.append(listener)
-        world.nursery.start_soon(trio.serve_listeners, take_connection, [listener])
+        world.nursery.start_soon(trio.serve_listeners, accept_connection, [listener])
         port = listener.socket.getsockname()[1]
         entries.append(f'{{"instanceId":"{name}","hostPort":"127.0.0.1:{port}","lifecycle":"up"}}')
     return f'{{"generation":1,"reset":true,"instances":[{",".join(entries)}]}}'.encode()
 
 
 async def build_frontend(world: scenario.World) -> None:
-    """Start the line frontend before two servers; `nothing_open` asserts that no request is left."""
+    """Start the line frontend with two servers; `nothing_open` asserts that no request is open."""
     watcher = EndpointWatcher(world.engine, ("127.0.0.1", 1), NAMES)
     watcher.load_cached(await start_servers(world))
-    descriptor_limit = DescriptorLimit(getattr(world, "sockets", DEFAULT_SOCKETS))
+    descriptor_limit = DescriptorLimit(getattr(world, "sockets", DEFAULT_DESCRIPTORS))
     frontend = LineFrontend(world.engine, watcher, NAMES, world.connect_timeout, 3000.0, descriptor_limit)
     listeners = await world.nursery.start(accept, frontend, ("127.0.0.1", 0))
     port = listeners[0].socket.getsockname()[1]
