--- a/tests/client/core_harness.py
+++ b/tests/client/core_harness.py
@@ -1,7 +1,8 @@
-"""A client's core on a hand-made network.
+"""A client's core on a simulated network.
 
-Time moves only by `advance`, and balancers say only what the test says. The harness checks what must hold in
-every test: one connection for each session, no attempt after a request's deadline, no wake-up in the past.
+Time passes only by `advance`, and balancers send only what the test sends. The harness checks three
+invariants in every test: one connection per session, no attempt after the deadline of its request, no
+wake-up in the past.
 """
 
 from __future__ import annotations
@@ -22,9 +23,9 @@
 
 
 class CoreHarness:
-    """Drives a core, and records what it commands.
+    """Drives a core, and records its commands.
 
-    limits: as `Limits`; sessions reconnect without an initial spread unless the test asks for one.
+    limits: fields of `Limits`; sessions reconnect without an initial spread unless the test sets one.
     """
 
     def __init__(self, *balancers: tuple[str, int], seed: int = 1, **limits: Any) -> None:
@@ -33,7 +34,7 @@
         self.now = 1000.0
         self.connects: list[tuple[float, Connect]] = []  # with the time of each
         self.lines: dict[int, list[bytes]] = {}  # written, by session id
-        self.open_connections: dict[int, int] = {}  # connection ids, open or being opened, by session id
+        self.open_connections: dict[int, int] = {}  # connection ids (open or being opened) by session id
         self.disconnects: list[tuple[float, int]] = []  # times and session ids
 
     # The driver
@@ -56,7 +57,7 @@
         assert self.core.next_wake_at() > self.now, "a wake-up in the past: the driver would spin"
 
     def advance(self, ms: float) -> None:
-        """Let time pass; the core is polled whenever it wants to be."""
+        """Let time pass; the core is polled at each wake-up time that it gives."""
         end = self.now + ms
         while (wake_at := self.core.next_wake_at()) <= end:
             self.now = wake_at
@@ -67,26 +68,26 @@
     # The caller
 
     def open(self, cls: str = "tile-view", **attributes: Any) -> Session:
-        """Open a session; its first attempt is in flight if there is room."""
+        """Open a session; its first attempt starts if the limits allow it."""
         session = self.core.open(self.now, cls, **attributes)
         self.step()
         return session
 
-    def established(self, cls: str = "tile-view", **attributes: Any) -> Session:
+    def open_established(self, cls: str = "tile-view", **attributes: Any) -> Session:
         """Open a session and let its balancer accept it."""
         session = self.open(cls, **attributes)
         self.answer(session, "UP 7")
         assert session.state is SessionState.ESTABLISHED
         return session
 
-    def rejected(self, cls: str = "tile-view") -> ClientError:
-        """Return what opening a session raises at once."""
+    def open_rejected(self, cls: str = "tile-view") -> ClientError:
+        """Return the error that opening a session raises at once."""
         try:
             self.core.open(self.now, cls)
         except ClientError as error:
             self.step()
             return error
-        raise AssertionError("it was not rejected")
+        raise AssertionError("opening a session raised no error")
 
     def send(self, session: Session, line: str) -> None:
         """Send a line that the session has room for."""
@@ -95,7 +96,7 @@
         self.step()
 
     def take(self, session: Session) -> str | None:
-        """Take what is pending for the caller."""
+        """Return the next line, or raise the next error, that is pending for the caller."""
         assert self.core.has_pending(session)
         return self.core.take_pending(session)
 
@@ -107,11 +108,11 @@
         self.step()
 
     def connect_failed(self, session: Session) -> None:
-        """Refuse the session's newest connection."""
-        self.core.connect_failed(session, session.connection_id, self.now, "nobody there")
+        """Fail the session's newest connection before it opens."""
+        self.core.connect_failed(session, session.connection_id, self.now, "connection refused")
         self.step()
 
-    def say(self, session: Session, text: str, connection_id: int | None = None) -> None:
+    def deliver(self, session: Session, text: str, connection_id: int | None = None) -> None:
         """Deliver text on a connection, the newest one by default."""
         if connection_id is None:
             connection_id = session.connection_id
@@ -121,20 +122,20 @@
     def answer(self, session: Session, line: str) -> None:
         """Open the session's newest connection and deliver one line."""
         self.accept(session)
-        self.say(session, line + "\r\n")
+        self.deliver(session, line + "\r\n")
 
     def end_connection(self, session: Session, reason: str = "") -> None:
-        """End the session's newest connection from the other side."""
+        """End the session's newest connection from the balancer's side."""
         self.core.connection_ended(session, session.connection_id, self.now, reason)
         self.step()
 
     def newest_address(self, session: Session) -> tuple[str, int]:
-        """Return where the session's newest attempt went."""
+        """Return the balancer address of the session's newest attempt."""
         return next(connect.address for _, connect in reversed(self.connects) if connect.session is session)
 
 
 def opening_fields(harness: CoreHarness, session: Session) -> dict[str, str]:
-    """Return the keys and values of a session's newest opening line, with both ids."""
+    """Return the fields of a session's newest opening line, with both ids as `id` and `key`."""
     line = next(line for line in reversed(harness.lines[session.session_id]) if line.startswith(b"OPEN "))
     match = re.fullmatch(r"OPEN ([0-9a-f]{16}) ([0-9a-f]{16}) (\S+)\r\n", line.decode())
     assert match
--- a/tests/client/scripted_balancer.py
+++ b/tests/client/scripted_balancer.py
@@ -1,15 +1,15 @@
-"""Scripted balancers on loopback, and both drivers beside them, on clocks that skip idle time.
-
-A balancer plays one script for each connection, the last one again for all further connections. One step a
-line:
-
-    > TEXT      sends a line        raw TEXT    sends the text as it is
-    expect GLOB the next line       wait MS     time passes
-    echo        answers every line with itself, until the client ends
-    trickle MS  sends a byte every so often, until the client ends
-    flood       sends without an end
-    hold        until the client ends (the end of a script closes the connection)
-    reset       ends it with a reset
+"""Scripted balancers on loopback for tests of both drivers, on clocks that skip idle time.
+
+A balancer runs one script per connection, and repeats the last script for all further connections. Each
+line of a script is one step:
+
+    > TEXT      sends a line        raw TEXT    sends the text without a line end
+    expect GLOB reads a line        wait MS     lets time pass
+    echo        answers every line with itself, until the client closes
+    trickle MS  sends a byte every MS, until the client closes
+    flood       sends 64 MB without a line end
+    hold        waits until the client closes (the end of a script closes the connection)
+    reset       makes the connection end with a reset
 """
 
 from __future__ import annotations
@@ -36,14 +36,14 @@
 Script = str
 CHUNK_BYTES = 16_384
 FLOOD_CHUNKS = 4000  # 64 MB: more than any buffer on the way
-JUMP_IDLE_S = 0.01  # loopback is delivered at once: whatever is idle for so long waits for time only
+JUMP_IDLE_S = 0.01  # loopback delivers at once: a loop idle for this long waits only for its clock
 
 
 class Peer(Protocol):
-    """The balancer's end of one connection, on either loop."""
+    """The balancer's end of one connection, on trio or asyncio."""
 
     async def line(self) -> bytes:
-        """Return the next line; empty at the end."""
+        """Return the next line; empty after the end of the connection."""
 
     async def send(self, data: bytes) -> None:
         """Send bytes."""
@@ -52,41 +52,41 @@
         """Let time pass."""
 
     def reset(self) -> None:
-        """Let the connection end with a reset."""
+        """Make the connection end with a reset."""
 
 
 @dataclass
 class Balancer:
-    """A balancer that plays scripts, and what it saw."""
+    """A balancer that runs scripts and records what it receives."""
 
     scripts: Sequence[Script]
     port: int = 0
-    opened: list[str] = field(default_factory=list)  # every opening line that came
-    open: int = 0  # connections now
-    faults: list[str] = field(default_factory=list)  # lines that a script did not expect
+    opening_lines: list[str] = field(default_factory=list)  # received opening lines
+    open_connections: int = 0  # currently open connections
+    mismatches: list[str] = field(default_factory=list)  # received lines that differ from the expected ones
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address on which it listens."""
         return f"127.0.0.1:{self.port}"
 
     async def serve(self, peer: Peer) -> None:
-        """Play one connection."""
-        self.open += 1
+        """Run the script of one connection."""
+        self.open_connections += 1
         try:
             opening_line = (await peer.line()).decode().strip()
             if not opening_line:
                 return
-            self.opened.append(opening_line)
-            script = self.scripts[min(len(self.opened), len(self.scripts)) - 1]
+            self.opening_lines.append(opening_line)
+            script = self.scripts[min(len(self.opening_lines), len(self.scripts)) - 1]
             for step in filter(None, map(str.strip, script.splitlines())):
-                await self._play(step, peer)
+                await self._run_step(step, peer)
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         finally:
-            self.open -= 1
+            self.open_connections -= 1
 
-    async def _play(self, step: str, peer: Peer) -> None:
+    async def _run_step(self, step: str, peer: Peer) -> None:
         verb, _, argument = step.partition(" ")
         match verb:
             case ">":
@@ -113,17 +113,17 @@
             case "reset":
                 peer.reset()
             case _:
-                raise AssertionError(f"no step {verb!r}")
+                raise AssertionError(f"unknown step {verb!r}")
 
     async def _expect(self, pattern: str, peer: Peer) -> None:
         line = (await peer.line()).decode().strip()
         if not fnmatchcase(line, pattern):
-            self.faults.append(f"got {line!r} for {pattern!r}")
+            self.mismatches.append(f"got {line!r} instead of {pattern!r}")
 
 
 @dataclass
-class Kit:
-    """What a test needs of its loop."""
+class LoopAdapter:
+    """Operations of one event loop, for tests that run on both loops."""
 
     client: Callable[..., BaseClient]
     sleep: Callable[[float], Awaitable[None]]
@@ -131,15 +131,15 @@
     cancelled_after: Callable[[int, Callable[[], Awaitable[Any]]], Awaitable[bool]]
 
 
-Body = Callable[[Kit, Sequence[Balancer]], Awaitable[None]]
+Body = Callable[[LoopAdapter, Sequence[Balancer]], Awaitable[None]]
 
 
-def _client(of: Callable[..., BaseClient]) -> Callable[..., BaseClient]:
-    def make(balancers: Sequence[Balancer], **limits: Any) -> BaseClient:
+def _client_factory(client_type: Callable[..., BaseClient]) -> Callable[..., BaseClient]:
+    def create_client(balancers: Sequence[Balancer], **limits: Any) -> BaseClient:
         limits = {"return_first_ms": 0.0} | limits
-        return of([b.address for b in balancers], [VIEW], Limits(**limits), 1)
+        return client_type([b.address for b in balancers], [VIEW], Limits(**limits), 1)
 
-    return make
+    return create_client
 
 
 def _reset(sock: Any) -> None:
@@ -199,9 +199,9 @@
 
 
 def run_trio(body: Body, *balancers: Balancer) -> None:
-    """Run a test's body on trio, whose clock skips idle time."""
+    """Run a test body on trio, with a clock that skips idle time."""
 
-    async def cancelled_after(steps: int, what: Callable[[], Awaitable[Any]]) -> bool:
+    async def cancelled_after(steps: int, operation: Callable[[], Awaitable[Any]]) -> bool:
         async def cancel(scope: trio.CancelScope) -> None:
             for _ in range(steps):
                 await trio.lowlevel.checkpoint()
@@ -210,7 +210,7 @@
         async with trio.open_nursery() as nursery:
             with trio.CancelScope() as scope:
                 nursery.start_soon(cancel, scope)
-                await what()
+                await operation()
             nursery.cancel_scope.cancel()
         return scope.cancelled_caught
 
@@ -226,16 +226,17 @@
 
                 nursery.start_soon(trio.serve_listeners, handle, [listener])
             await body(
-                Kit(_client(on_trio.Client), trio.sleep, trio.current_time, cancelled_after), balancers
+                LoopAdapter(_client_factory(on_trio.Client), trio.sleep, trio.current_time, cancelled_after),
+                balancers,
             )
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=MockClock(autojump_threshold=JUMP_IDLE_S))
-    assert not any(b.faults for b in balancers), [b.faults for b in balancers]
+    assert not any(b.mismatches for b in balancers), [b.mismatches for b in balancers]
 
 
-class _JumpingSelector(selectors.DefaultSelector):
-    """A selector that skips idle time, and counts what it skipped."""
+class _TimeSkippingSelector(selectors.DefaultSelector):
+    """A selector that skips idle time, and adds up the skipped time."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -250,20 +251,20 @@
         return events
 
 
-class _JumpingLoop(asyncio.SelectorEventLoop):
+class _TimeSkippingLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._skipping_selector = _TimeSkippingSelector()
+        super().__init__(self._skipping_selector)
 
     def time(self) -> float:
-        return super().time() + self._jumping.skipped_s
+        return super().time() + self._skipping_selector.skipped_s
 
 
 def run_asyncio(body: Body, *balancers: Balancer) -> None:
-    """Run a test's body on asyncio, whose clock skips idle time."""
+    """Run a test body on asyncio, with a clock that skips idle time."""
 
-    async def cancelled_after(steps: int, what: Callable[[], Awaitable[Any]]) -> bool:
-        task = asyncio.ensure_future(what())
+    async def cancelled_after(steps: int, operation: Callable[[], Awaitable[Any]]) -> bool:
+        task = asyncio.ensure_future(operation())
         for _ in range(steps):
             await asyncio.sleep(0)
         task.cancel()
@@ -288,24 +289,27 @@
             balancer.port = server.sockets[0].getsockname()[1]
             servers.append(server)
         loop = asyncio.get_running_loop()
-        await body(Kit(_client(on_asyncio.Client), asyncio.sleep, loop.time, cancelled_after), balancers)
+        await body(
+            LoopAdapter(_client_factory(on_asyncio.Client), asyncio.sleep, loop.time, cancelled_after),
+            balancers,
+        )
         for task in asyncio.all_tasks() - {asyncio.current_task()}:
             task.cancel()
 
-    with asyncio.Runner(loop_factory=_JumpingLoop) as runner:
+    with asyncio.Runner(loop_factory=_TimeSkippingLoop) as runner:
         runner.run(main())
-    assert not any(b.faults for b in balancers), [b.faults for b in balancers]
+    assert not any(b.mismatches for b in balancers), [b.mismatches for b in balancers]
 
 
 @contextmanager
-def served(balancer: Balancer) -> Iterator[None]:
-    """The balancer on a thread of its own, for a script that blocks."""
+def serve_in_thread(balancer: Balancer) -> Iterator[None]:
+    """Run the balancer in a separate thread, for tests of blocking code."""
     ready, done = threading.Event(), threading.Event()
 
-    async def body(kit: Kit, balancers: Sequence[Balancer]) -> None:
+    async def body(adapter: LoopAdapter, balancers: Sequence[Balancer]) -> None:
         ready.set()
         while not done.is_set():
-            await kit.sleep(0.005)
+            await adapter.sleep(0.005)
 
     thread = threading.Thread(target=run_asyncio, args=(body, balancer))
     thread.start()
--- a/tests/client/test_admission.py
+++ b/tests/client/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: what a rejection means for the other requests of its class."""
+"""Admission: the effect of a rejection on the other requests of its class."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
     first = harness.open()
     harness.answer(first, "BUSY 700")
     retry_at = harness.now + 700
-    assert first.state is SessionState.QUEUED  # there is time for a retry afterwards
+    assert first.state is SessionState.QUEUED  # enough time is left for a retry after that
     second = harness.open()
-    other = harness.established("label-edit")
+    other = harness.open_established("label-edit")
     assert other.state is SessionState.ESTABLISHED and len(harness.connects) == 2
     harness.advance(2000)
     times = [
@@ -29,9 +29,9 @@
     waiting = [harness.open() for _ in range(20)]
     harness.advance(120)
     counts = []
-    while out := [s for s in waiting if s.state is SessionState.CONNECTING]:
-        counts.append(len(out))
-        for session in out:
+    while connecting := [s for s in waiting if s.state is SessionState.CONNECTING]:
+        counts.append(len(connecting))
+        for session in connecting:
             harness.answer(session, "UP 1")
         waiting = [s for s in waiting if s.state is not SessionState.ESTABLISHED]
         assert harness.now < 3000
@@ -44,10 +44,10 @@
     harness.answer(first, "BUSY 1500")
     for session in (first, waiting):
         assert isinstance(session.error, Rejected) and 1500 <= session.error.retry_after <= 1650
-    error = harness.rejected()
+    error = harness.open_rejected()
     assert isinstance(error, Rejected) and error.retry_after >= 1500 and len(harness.connects) == 1
     harness.advance(1650)
-    assert harness.established().state is SessionState.ESTABLISHED
+    assert harness.open_established().state is SessionState.ESTABLISHED
 
 
 def test_rejections_without_retry_after_back_off_exponentially() -> None:
@@ -70,5 +70,5 @@
     harness = CoreHarness()
     harness.answer(harness.open(), "BUSY 999999999")
     assert harness.core.next_wake_at() >= 0
-    error = harness.rejected()
+    error = harness.open_rejected()
     assert isinstance(error, Rejected) and error.retry_after <= 660_000
--- a/tests/client/test_attempts.py
+++ b/tests/client/test_attempts.py
@@ -36,8 +36,9 @@
     harness.accept(session)
     fields, before = opening_fields(harness, session), harness.lines[session.session_id][0]
     assert fields["r"] == "1" and "again" not in fields and fields["id"].encode() not in before
-    assert 540 <= int(fields["d"]) <= 600  # two objectives: another balancer could follow
-    harness.say(session, "UP 3\r\n")
+    # two latency objectives, because a retry on another balancer could follow
+    assert 540 <= int(fields["d"]) <= 600
+    harness.deliver(session, "UP 3\r\n")
     assert session.state is SessionState.ESTABLISHED and session.receipt == "3"
 
 
@@ -64,10 +65,10 @@
     session = harness.open()
     harness.accept(session)
     harness.now += at  # the loop is late: the rejection is handled before the timer
-    harness.say(session, "BUSY 0\r\n")
+    harness.deliver(session, "BUSY 0\r\n")
     error = session.error
     assert type(error) is kind
-    harness.say(session, "BUSY 0\r\n", connection_id=1)
+    harness.deliver(session, "BUSY 0\r\n", connection_id=1)
     harness.advance(10_000)
     counters = harness.core.figures().counters
     assert len(harness.connects) == 1 and session.error is error
@@ -102,7 +103,7 @@
     harness = CoreHarness()
     session = harness.open()
     harness.accept(session)
-    harness.say(session, text)
+    harness.deliver(session, text)
     harness.advance(1199)
     assert session.state is SessionState.CONNECTING
     harness.advance(15)
@@ -127,14 +128,14 @@
         for session in [s for s in sessions if s.state is SessionState.CONNECTING]:
             harness.connect_failed(session)
     assert all(isinstance(s.error, ClientError) for s in sessions)
-    assert 1 <= len(harness.connects) - before <= 8  # over two seconds of 30 waiting requests
+    assert 1 <= len(harness.connects) - before <= 8  # in two seconds with 30 waiting requests
     harness.advance(10_000)
-    trial, *others = [harness.open() for _ in range(5)]
+    probe, *others = [harness.open() for _ in range(5)]
     assert len(harness.open_connections) == 1
-    harness.answer(trial, "BUSY 0")  # a rejection shows as well that it lives
-    assert len(harness.open_connections) == 1  # because of the class's gate, not of the balancer
+    harness.answer(probe, "BUSY 0")  # a rejection, too, ends the ejection
+    assert len(harness.open_connections) == 1  # limited by the gate of the class, no longer by the ejection
     harness.advance(0)
-    harness.answer(next(s for s in (trial, *others) if s.state is SessionState.CONNECTING), "UP 1")
+    harness.answer(next(s for s in (probe, *others) if s.state is SessionState.CONNECTING), "UP 1")
     assert len(harness.open_connections) >= 2
 
 
@@ -148,13 +149,13 @@
             harness.advance(1)
     assert len(harness.connects) == 8 + 3 and harness.core.figures().counters.budget_exhausted >= 5
     for _ in range(4):
-        harness.established()
+        harness.open_established()
     session = harness.open()
     while session.state is not SessionState.CLOSED:
         if session.state is SessionState.CONNECTING:
             harness.answer(session, "ERR")
         harness.advance(1)
-    assert session.attempts == 3  # two successes earned one retry
+    assert session.attempts == 3  # four successes allow two more retries
 
 
 def test_no_attempt_starts_that_could_not_finish() -> None:
@@ -166,7 +167,7 @@
     session = harness.open()
     harness.accept(session)
     harness.advance(1100)
-    harness.say(session, "ERR\r\n")  # 100 ms are left, and set-ups have taken 150 ms
+    harness.deliver(session, "ERR\r\n")  # 100 ms are left, and set-ups have taken 150 ms
     assert isinstance(session.error, Failed) and len(harness.connects) == 9
 
 
@@ -183,7 +184,7 @@
     harness = CoreHarness(sessions=5, setups=2)
     sessions = [harness.open() for _ in range(5)]
     assert len(harness.open_connections) == 2
-    assert isinstance(harness.rejected(), TooMany)
+    assert isinstance(harness.open_rejected(), TooMany)
     harness.core.close(sessions[0], harness.now)
     harness.step()
     assert len(harness.open_connections) == 2 and harness.open()
@@ -196,9 +197,11 @@
     harness.core.data_received(session, session.connection_id, b"U", harness.now - 1e6)
     harness.core.poll(harness.now - 1e6)
     assert session.state is SessionState.CONNECTING
-    harness.now += 3.6e6  # an hour asleep
+    harness.now += 3.6e6  # one hour, as after a suspended machine
     harness.step()
-    assert isinstance(session.error, TimedOut) and harness.established().state is SessionState.ESTABLISHED
+    assert (
+        isinstance(session.error, TimedOut) and harness.open_established().state is SessionState.ESTABLISHED
+    )
 
 
 def test_events_of_an_older_connection_are_ignored() -> None:
@@ -207,10 +210,10 @@
     harness.answer(session, "ERR")
     harness.advance(60)
     harness.accept(session)
-    harness.say(session, "UP 1\r\n", connection_id=1)
+    harness.deliver(session, "UP 1\r\n", connection_id=1)
     harness.core.connection_ended(session, 1, harness.now, "late")
     harness.core.connect_failed(session, 1, harness.now, "late")
     harness.step()
     assert session.state is SessionState.CONNECTING
-    harness.say(session, "UP 2\r\n")
+    harness.deliver(session, "UP 2\r\n")
     assert session.receipt == "2"
--- a/tests/client/test_core.py
+++ b/tests/client/test_core.py
@@ -1,4 +1,4 @@
-"""The core as a whole: closing, figures, and the arguments that it rejects."""
+"""The core as a whole: closing sessions, figures, and invalid arguments."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     harness = CoreHarness(ONE, TWO, setups=3)
     sessions = [harness.open() for _ in range(6)]
     harness.answer(sessions[0], "UP 1")
-    harness.say(sessions[0], "MOVE\r\n")
+    harness.deliver(sessions[0], "MOVE\r\n")
     harness.answer(sessions[1], "UP 1")
     harness.answer(sessions[2], "ERR")
     for session in sessions:
@@ -37,7 +37,7 @@
         harness.answer(session, "UP 1")
     harness.send(session, "a")
     harness.advance(50)
-    harness.say(session, "a\r\n")
+    harness.deliver(session, "a\r\n")
     figures = harness.core.figures()
     setup, delay = figures.setup_times["tile-view"], figures.line_delays["tile-view"]
     assert setup.count == 3 and 19 <= setup.p50 <= 21 and 395 <= setup.max <= 405 and 49 <= delay.p99 <= 51
--- a/tests/client/test_drivers.py
+++ b/tests/client/test_drivers.py
@@ -1,4 +1,4 @@
-"""Both drivers against scripted balancers: the same tests, the same behaviour."""
+"""Both drivers against scripted balancers: both must pass the same tests."""
 
 from __future__ import annotations
 
@@ -12,33 +12,42 @@
 
 import pytest
 
-from tests.client.scripted_balancer import VIEW, Balancer, Body, Kit, run_asyncio, run_trio, served
+from tests.client.scripted_balancer import (
+    VIEW,
+    Balancer,
+    Body,
+    LoopAdapter,
+    run_asyncio,
+    run_trio,
+    serve_in_thread,
+)
 from walkloom.client import Failed, Interrupted, Rejected, TimedOut, blocking
 from walkloom.client.errors import ClientError
 from walkloom.client.settings import Limits
 
 Run = Callable[..., None]
-UP = "> UP 7\necho"
-both = pytest.mark.parametrize("run", [run_trio, run_asyncio], ids=["trio", "asyncio"])
+ECHO_SCRIPT = "> UP 7\necho"
+on_both_loops = pytest.mark.parametrize("run", [run_trio, run_asyncio], ids=["trio", "asyncio"])
 
 
-def opened(error: type[ClientError], within_ms: float, text: str = "") -> Body:
-    """A test's body: opening raises that, no later than that."""
+def open_raises(error: type[ClientError], within_ms: float, text: str = "") -> Body:
+    """Return a test body that expects `open` to raise the error within the time."""
 
-    async def body(kit: Kit, balancers: Sequence[Balancer]) -> None:
-        async with kit.client(balancers) as client:
-            start = kit.now()
+    async def body(adapter: LoopAdapter, balancers: Sequence[Balancer]) -> None:
+        async with adapter.client(balancers) as client:
+            start = adapter.now()
             with pytest.raises(error, match=text):
                 await client.open("tile-view", tenant="acme")
-            assert (kit.now() - start) * 1000 <= within_ms + 20  # the loop's own delay on a busy machine
+            # 20 ms allow for the delay of the event loop on a busy machine
+            assert (adapter.now() - start) * 1000 <= within_ms + 20
             assert client.figures().sessions == 0
-        await kit.sleep(0.5)
-        assert not any(b.open for b in balancers)
+        await adapter.sleep(0.5)
+        assert not any(b.open_connections for b in balancers)
 
     return body
 
 
-@both
+@on_both_loops
 @pytest.mark.parametrize(
     ("scripts", "error", "within", "text"),
     [
@@ -60,10 +69,10 @@
     run: Run, scripts: list[str], error: type[ClientError] | None, within: float, text: str
 ) -> None:
     if error is not None:
-        return run(opened(error, within, text), Balancer(scripts))
+        return run(open_raises(error, within, text), Balancer(scripts))
 
-    async def body(kit: Kit, balancers: Sequence[Balancer]) -> None:
-        async with kit.client(balancers) as client:
+    async def body(adapter: LoopAdapter, balancers: Sequence[Balancer]) -> None:
+        async with adapter.client(balancers) as client:
             session = await client.open("tile-view")
             with pytest.raises(Failed, match="over 4096 bytes"):
                 await session.receive()
@@ -74,11 +83,11 @@
     return None
 
 
-@both
+@on_both_loops
 def test_lines_pass_both_ways_until_the_server_ends_the_session(run: Run) -> None:
-    async def body(kit: Kit, balancers: Sequence[Balancer]) -> None:
+    async def body(adapter: LoopAdapter, balancers: Sequence[Balancer]) -> None:
         async with (
-            kit.client(balancers) as client,
+            adapter.client(balancers) as client,
             await client.open("tile-view", tenant="t", key=5) as session,
         ):
             assert session.receipt == "7" and session.established
@@ -92,10 +101,10 @@
     run(body, Balancer(["> UP 7\nexpect a é\nexpect b\n> A\n> B\n> LOAD 2\n> BYE\nwait 10"]))
 
 
-@both
+@on_both_loops
 def test_a_migrated_session_reconnects_with_its_key_and_group(run: Run) -> None:
-    async def body(kit: Kit, balancers: Sequence[Balancer]) -> None:
-        async with kit.client(balancers) as client:
+    async def body(adapter: LoopAdapter, balancers: Sequence[Balancer]) -> None:
+        async with adapter.client(balancers) as client:
             session = await client.open("tile-view", tenant="t", key=5, group=6)
             with pytest.raises(Interrupted) as error:
                 await session.send("a")
@@ -103,36 +112,39 @@
             assert error.value.unanswered == ("a",) and error.value.why == "moved"
             await session.send("b")
             assert await session.receive() == "b" and session.receipt == "8"
-            first, second = balancers[0].opened
+            first, second = balancers[0].opening_lines
             assert first.split()[2] == second.split()[2] == f"{5:016x}" and "again=1" in second
             assert f"g={6:016x}" in second and first.split()[1] != second.split()[1]
 
     run(body, Balancer(["> UP 7\nexpect a\nraw MO\nwait 20\nraw VE\\r\\n", "> UP 8\necho"]))
 
 
-@both
+@on_both_loops
 def test_a_healthy_balancer_serves_beside_a_dead_and_a_silent_one(run: Run) -> None:
-    async def body(kit: Kit, balancers: Sequence[Balancer]) -> None:
-        dead, silent, good = balancers
-        dead.port = 1  # nobody listens there
-        async with kit.client(balancers, retry_reserve=30) as client:
+    async def body(adapter: LoopAdapter, balancers: Sequence[Balancer]) -> None:
+        dead, silent, healthy = balancers
+        dead.port = 1  # no process listens on this port
+        async with adapter.client(balancers, retry_reserve=30) as client:
             for _ in range(12):
-                start = kit.now()
+                start = adapter.now()
                 with suppress(TimedOut, Failed):
                     await client.open("tile-view")
-                assert (kit.now() - start) * 1000 <= 1200 + 20
+                assert (adapter.now() - start) * 1000 <= 1200 + 20
             figures = client.figures()
-            assert figures.counters.established >= 9 and len(good.opened) == figures.counters.established
-            assert figures.counters.ejections >= 1 and len(silent.opened) <= 4
+            assert (
+                figures.counters.established >= 9
+                and len(healthy.opening_lines) == figures.counters.established
+            )
+            assert figures.counters.ejections >= 1 and len(silent.opening_lines) <= 4
 
-    run(body, Balancer(["hold"]), Balancer(["hold"]), Balancer([UP]))
+    run(body, Balancer(["hold"]), Balancer(["hold"]), Balancer([ECHO_SCRIPT]))
 
 
-@both
+@on_both_loops
 def test_a_session_is_established_after_five_seconds_of_rejections(run: Run) -> None:
-    async def body(kit: Kit, balancers: Sequence[Balancer]) -> None:
-        async with kit.client(balancers) as client:
-            start = kit.now()
+    async def body(adapter: LoopAdapter, balancers: Sequence[Balancer]) -> None:
+        async with adapter.client(balancers) as client:
+            start = adapter.now()
             rejections = 0
             session = None
             while session is None:
@@ -141,32 +153,32 @@
                 except Rejected as error:
                     rejections += 1
                     assert error.retry_after > 0
-                    await kit.sleep(error.retry_after / 1000)
-            assert kit.now() - start >= 5 and len(balancers[0].opened) <= 8 and rejections >= 1
+                    await adapter.sleep(error.retry_after / 1000)
+            assert adapter.now() - start >= 5 and len(balancers[0].opening_lines) <= 8 and rejections >= 1
 
-    scripts = ["> BUSY 1000"] * 5 + [UP]
+    scripts = ["> BUSY 1000"] * 5 + [ECHO_SCRIPT]
     run(body, Balancer(scripts))
 
 
-@both
+@on_both_loops
 def test_a_caller_that_does_not_receive_stops_the_server_and_bounds_the_memory(run: Run) -> None:
-    async def body(kit: Kit, balancers: Sequence[Balancer]) -> None:
-        async with kit.client(balancers, lines_in=8) as client:
+    async def body(adapter: LoopAdapter, balancers: Sequence[Balancer]) -> None:
+        async with adapter.client(balancers, lines_in=8) as client:
             session = await client.open("tile-view")
-            await kit.sleep(1)
-            held = len(session._core_session.inbox)
-            await kit.sleep(1)
-            assert held == len(session._core_session.inbox) <= 8 + 16_384 // 102
+            await adapter.sleep(1)
+            inbox_size = len(session._core_session.inbox)
+            await adapter.sleep(1)
+            assert inbox_size == len(session._core_session.inbox) <= 8 + 16_384 // 102
             for _ in range(1000):
                 assert len(await session.receive() or "") == 100
 
     run(body, Balancer(["> UP 1\n" + f"> {'x' * 100}\n" * 1000 + "hold"]))
 
 
-@both
+@on_both_loops
 def test_a_server_that_does_not_read_blocks_the_sender_and_no_line_is_lost(run: Run) -> None:
-    async def body(kit: Kit, balancers: Sequence[Balancer]) -> None:
-        async with kit.client(balancers, lines_out=100_000, silence_ms=60_000) as client:
+    async def body(adapter: LoopAdapter, balancers: Sequence[Balancer]) -> None:
+        async with adapter.client(balancers, lines_out=100_000, silence_ms=60_000) as client:
             session = await client.open("tile-view")
             sent = 0
 
@@ -176,7 +188,7 @@
                     await session.send(f"{sent} {'x' * 1000}")
                     sent += 1
 
-            assert await kit.cancelled_after(30_000, flood)
+            assert await adapter.cancelled_after(30_000, flood)
             assert sent < 20_000
             for n in range(sent):
                 line = await session.receive()
@@ -185,10 +197,10 @@
     run(body, Balancer(["> UP 1\nwait 5000\necho"]))
 
 
-@both
+@on_both_loops
 def test_cancelling_the_caller_at_every_await_leaves_nothing_behind(run: Run) -> None:
-    async def body(kit: Kit, balancers: Sequence[Balancer]) -> None:
-        async with kit.client(balancers) as client:
+    async def body(adapter: LoopAdapter, balancers: Sequence[Balancer]) -> None:
+        async with adapter.client(balancers) as client:
 
             async def use() -> None:
                 async with await client.open("tile-view") as session:
@@ -196,32 +208,35 @@
                         await session.send(str(n))
                         assert await session.receive() == str(n)
 
-            outcomes = [await kit.cancelled_after(steps, use) for steps in range(120)]
+            outcomes = [await adapter.cancelled_after(steps, use) for steps in range(120)]
             assert any(outcomes) and not all(outcomes)
-            await kit.sleep(0.1)
+            await adapter.sleep(0.1)
             figures, n = client.figures(), client.figures().counters
             assert figures.sessions == 0 and n.requests == n.established + n.abandoned and n.abandoned > 0
-            assert not any(b.open for b in balancers) and client.connections == {}
+            assert not any(b.open_connections for b in balancers) and client.connections == {}
 
-    run(body, Balancer([UP]))
+    run(body, Balancer([ECHO_SCRIPT]))
 
 
-@both
+@on_both_loops
 def test_an_exception_of_the_caller_propagates_unchanged_and_closes_all(run: Run) -> None:
-    async def body(kit: Kit, balancers: Sequence[Balancer]) -> None:
+    async def body(adapter: LoopAdapter, balancers: Sequence[Balancer]) -> None:
         with pytest.raises(KeyError):
-            async with kit.client(balancers) as client:
+            async with adapter.client(balancers) as client:
                 await client.open("tile-view")
                 raise KeyError("mine")
-        await kit.sleep(0.1)
-        assert not any(b.open for b in balancers)
+        await adapter.sleep(0.1)
+        assert not any(b.open_connections for b in balancers)
 
-    run(body, Balancer([UP]))
+    run(body, Balancer([ECHO_SCRIPT]))
 
 
 def test_the_blocking_client_works_in_a_script() -> None:
-    balancer = Balancer([UP])
-    with served(balancer), blocking.Client([balancer.address], [VIEW], Limits(lines_out=4)) as client:
+    balancer = Balancer([ECHO_SCRIPT])
+    with (
+        serve_in_thread(balancer),
+        blocking.Client([balancer.address], [VIEW], Limits(lines_out=4)) as client,
+    ):
         with client.open("tile-view", tenant="t") as session:
             session.send("a")
             assert session.receive() == "a" and session.receipt == "7" and session.standing
@@ -235,7 +250,7 @@
 
 
 def test_the_package_imports_without_the_balancer(tmp_path: Path) -> None:
-    """The package alone, in a folder of its own: neither the balancer nor trio is needed for asyncio."""
+    """Imports a copy of the package in an empty folder: asyncio needs neither the balancer nor trio."""
     source = Path(__file__).parents[2] / "walkloom" / "client"
     shutil.copytree(source, tmp_path / "walkloom" / "client", ignore=shutil.ignore_patterns("__pycache__"))
     code = """
@@ -246,17 +261,17 @@
         assert all(name.startswith("walkloom.client") for name in extra), extra
         print(on_asyncio.__file__)
     """
-    got = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", textwrap.dedent(code)],
         cwd=tmp_path,
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert got.returncode == 0 and str(tmp_path) in got.stdout, got.stderr
+    assert completed.returncode == 0 and str(tmp_path) in completed.stdout, completed.stderr
 
 
 def test_a_balancer_imports_nothing_of_the_client() -> None:
     code = "import sys, walkloom.__main__; print([m for m in sys.modules if 'client' in m or 'hdrh' in m])"
-    got = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
-    assert got.stdout.strip() == "[]", got.stdout + got.stderr
+    completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
+    assert completed.stdout.strip() == "[]", completed.stdout + completed.stderr
--- a/tests/client/test_properties.py
+++ b/tests/client/test_properties.py
@@ -1,6 +1,6 @@
-"""Properties for any order of events.
+"""Properties that hold for any order of events.
 
-Each request has one result, the retry budget is kept, and no attempt starts after a deadline.
+Each request has one result, retries stay within the retry budget, and no attempt starts after a deadline.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from walkloom.client.session import Session, SessionState
 from walkloom.client.wire import MAX_LINE_BYTES, LineBuffer
 
-WIDE = int(os.environ.get("WALKLOOM_EXAMPLES", "150"))  # outside CI: more of them
+WIDE = int(os.environ.get("WALKLOOM_EXAMPLES", "150"))  # examples per test; set to more outside CI
 ANSWERS = [
     "UP 1\r\n",
     "UP",
@@ -40,16 +40,16 @@
 )
 
 
-def act(harness: CoreHarness, sessions: list[Session], op: str, what: object) -> None:
+def act(harness: CoreHarness, sessions: list[Session], op: str, argument: object) -> None:
     if op == "open":
         try:
-            sessions.append(harness.open(str(what)))
+            sessions.append(harness.open(str(argument)))
         except ClientError:
             harness.step()
         return None
     if op == "wait":
-        return harness.advance(float(what))  # type: ignore[arg-type]
-    number, text = what if isinstance(what, tuple) else (what, "")
+        return harness.advance(float(argument))  # type: ignore[arg-type]
+    number, text = argument if isinstance(argument, tuple) else (argument, "")
     if not sessions:
         return None
     session = sessions[number % len(sessions)]
@@ -68,7 +68,7 @@
         with suppress(ClientError):
             harness.core.take_pending(session)
     elif op == "say":
-        harness.say(session, text)
+        harness.deliver(session, text)
     return None
 
 
--- a/tests/client/test_readme.py
+++ b/tests/client/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example of the client runs as printed, but for the address."""
+"""The client example of the README runs as printed, except for the address."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.client.scripted_balancer import Balancer, served
+from tests.client.scripted_balancer import Balancer, serve_in_thread
 
 
 def test_the_client_example_of_the_readme_runs(capsys: pytest.CaptureFixture[str]) -> None:
@@ -15,6 +15,6 @@
     blocks = re.findall(r"```python\n(.*?)```", readme, re.S)
     (code,) = (block for block in blocks if "walkloom.client" in block)
     balancer = Balancer(["> UP 1\nexpect sheet 17\n> sheet 17 is here\nhold"])
-    with served(balancer):
+    with serve_in_thread(balancer):
         exec(code.replace("127.0.0.1:9000", balancer.address), {})
-    assert capsys.readouterr().out == "sheet 17 is here\n" and "t=herb-serra" in balancer.opened[0]
+    assert capsys.readouterr().out == "sheet 17 is here\n" and "t=herb-serra" in balancer.opening_lines[0]
--- a/tests/client/test_real_balancers.py
+++ b/tests/client/test_real_balancers.py
@@ -1,4 +1,4 @@
-"""The library against real balancers and the laboratory's servers, on a clock that skips idle time."""
+"""The library against real balancers and laboratory servers, on a clock that skips idle time."""
 
 from __future__ import annotations
 
@@ -19,16 +19,20 @@
 
 
 @pytest.fixture(autouse=True)
-def quiet() -> None:
+def suppress_log_warnings() -> None:
     logging.getLogger("walkloom").setLevel(logging.ERROR)
 
 
-def play(
-    body: Body, servers: int = 3, balancers: int = 2, tile: dict[str, float] | None = None, **limits: float
+def run_fleet(
+    body: Body,
+    servers: int = 3,
+    balancers: int = 2,
+    server_options: dict[str, float] | None = None,
+    **limits: float,
 ) -> None:
     async def main() -> None:
         async with trio.open_nursery() as nursery:
-            fleet = await Fleet(nursery).start(servers, **(tile or {}))
+            fleet = await Fleet(nursery).start(servers, **(server_options or {}))
             for number in range(balancers):
                 await fleet.start_balancer(f"n{number}", balancer_count=balancers)
             addresses = [b.address for b in fleet.balancers.values()]
@@ -46,20 +50,20 @@
             await trio.sleep(0.05)
 
 
-HUNDREDS = 200
+SESSION_COUNT = 200
 
 
 def test_hundreds_of_sessions_reconnect_after_a_drain_with_few_extra_attempts() -> None:
     async def body(fleet: Fleet, client: Client) -> None:
         sessions = []
-        for number in range(HUNDREDS):
+        for number in range(SESSION_COUNT):
             cls = "label-edit" if number % 5 == 0 else "tile-view"
             sessions.append(await client.open(cls, tenant="herb-serra", group=number % 7 + 1, key=number))
         fullest = max(fleet.servers.values(), key=lambda s: len(s.connections))
         migrating = len(fullest.connections)
         attempts_before = client.figures().counters.attempts
         await fleet.drain(fullest.name)
-        await wait_for_established(client, HUNDREDS, 20)
+        await wait_for_established(client, SESSION_COUNT, 20)
         await trio.sleep(1)
         n = client.figures().counters
         assert migrating > 30 and n.migrated >= migrating and n.reconnected == n.migrated and n.lost == 0
@@ -68,7 +72,7 @@
             await session.send("still there")
             assert await session.receive() == "still there"
 
-    play(body, tile={"max_connections": 200})
+    run_fleet(body, server_options={"max_connections": 200})
 
 
 def test_established_sessions_survive_a_balancer_restart() -> None:
@@ -86,7 +90,7 @@
             await client.open("tile-view", group=number)
         assert client.figures().established == 80
 
-    play(body)
+    run_fleet(body)
 
 
 def test_established_sessions_survive_a_balancer_crash() -> None:
@@ -97,7 +101,7 @@
         fleet.balancers["n0"].kill()
         answered = 0
         reported = 0
-        for session in sessions:  # each line is answered or reported, whichever was first
+        for session in sessions:  # each line is either answered or reported as unanswered
             try:
                 assert await session.receive() == "a"
                 answered += 1
@@ -108,13 +112,13 @@
         n = client.figures().counters
         assert answered + reported == 40 and reported >= 1 and n.broken >= 10 and n.lost == 0
 
-    play(body)
+    run_fleet(body)
 
 
 @pytest.mark.parametrize("fault", [Fault.FAILING, Fault.RESETTING, Fault.AT_CAPACITY])
 def test_a_faulty_fleet_is_not_overloaded_by_retries_and_recovers(fault: Fault) -> None:
     async def body(fleet: Fleet, client: Client) -> None:
-        async def viewer(number: int) -> None:
+        async def open_until_established(number: int) -> None:
             await trio.sleep(number * 0.05)
             for _ in range(60):
                 with suppress(ClientError):
@@ -124,28 +128,28 @@
 
         async with trio.open_nursery() as nursery:
             for number in range(60):
-                nursery.start_soon(viewer, number)
+                nursery.start_soon(open_until_established, number)
             await trio.sleep(1)
-            for tile in fleet.servers.values():
-                tile.fault = fault
+            for server in fleet.servers.values():
+                server.fault = fault
             await trio.sleep(5)
-            for tile in fleet.servers.values():
-                tile.fault = Fault.NONE
+            for server in fleet.servers.values():
+                server.fault = Fault.NONE
         n = client.figures().counters
         assert n.established == 60 and n.requests > 100
         assert n.attempts <= 1.6 * n.established, "retries overloaded the fleet"
 
-    play(body)
+    run_fleet(body)
 
 
 def test_no_attempt_outlives_its_deadline_whatever_the_servers_do() -> None:
     async def body(fleet: Fleet, client: Client) -> None:
-        for tile, fault in zip(
+        for server, fault in zip(
             fleet.servers.values(), (Fault.SILENT, Fault.TRICKLING, Fault.NONE), strict=True
         ):
-            tile.fault, tile.fault_share = fault, 0.7
+            server.fault, server.fault_share = fault, 0.7
 
-        async def viewer(number: int) -> None:
+        async def open_once(number: int) -> None:
             start = trio.current_time()
             with suppress(Rejected, TimedOut, Failed):
                 await client.open("tile-view", group=number)
@@ -153,10 +157,10 @@
 
         async with trio.open_nursery() as nursery:
             for number in range(60):
-                nursery.start_soon(viewer, number)
+                nursery.start_soon(open_once, number)
         n = client.figures().counters
         assert n.requests == 60 == n.established + n.rejected + n.timed_out + n.failed and n.established >= 10
         await trio.sleep(2)
-        assert all(len(tile.connections) <= n.established for tile in fleet.servers.values())
+        assert all(len(server.connections) <= n.established for server in fleet.servers.values())
 
-    play(body)
+    run_fleet(body)
--- a/tests/client/test_reconnects.py
+++ b/tests/client/test_reconnects.py
@@ -12,8 +12,8 @@
 def test_sessions_reconnect_one_by_one_after_a_drain_highest_priority_first() -> None:
     harness = CoreHarness(setups=1000, returns_per_s=100, seed=3)
     views, edits = (
-        [harness.established() for _ in range(250)],
-        [harness.established("label-edit") for _ in range(50)],
+        [harness.open_established() for _ in range(250)],
+        [harness.open_established("label-edit") for _ in range(50)],
     )
     start = len(harness.connects)
     for session in views + edits:
@@ -25,14 +25,14 @@
         for session in [s for s in views + edits if s.state is SessionState.CONNECTING]:
             harness.answer(session, "UP 2")
         assert harness.now < drained_at + 10_000
-    back = harness.connects[start:]
-    assert len(back) == 300 and all(
-        connect.session.attributes.request_class == "label-edit" for _, connect in back[:50]
+    reconnects = harness.connects[start:]
+    assert len(reconnects) == 300 and all(
+        connect.session.attributes.request_class == "label-edit" for _, connect in reconnects[:50]
     )
-    bins = [0] * (int(back[-1][0] - drained_at) // 100 + 1)
-    for at, _ in back:
+    bins = [0] * (int(reconnects[-1][0] - drained_at) // 100 + 1)
+    for at, _ in reconnects:
         bins[int(at - drained_at) // 100] += 1
-    assert 2500 < back[-1][0] - drained_at < 3500 and max(bins) < 2 * 300 / len(bins)
+    assert 2500 < reconnects[-1][0] - drained_at < 3500 and max(bins) < 2 * 300 / len(bins)
     fields = opening_fields(harness, views[0])
     assert fields["again"] == "1" and "r" not in fields
     assert harness.core.figures().counters.reconnected == 300
@@ -40,9 +40,9 @@
 
 def test_the_reconnect_window_of_a_drain_is_bounded() -> None:
     harness = CoreHarness(setups=1000, returns_per_s=1, return_window_ms=2000)
-    sessions = [harness.established() for _ in range(100)]
+    sessions = [harness.open_established() for _ in range(100)]
     for session in sessions:
-        harness.say(session, "MOVE\r\n")
+        harness.deliver(session, "MOVE\r\n")
     drained_at = harness.now
     while any(s.connection_id < 2 for s in sessions):
         harness.advance(5)
@@ -53,8 +53,8 @@
 
 def test_a_session_without_reconnects_is_interrupted_and_ends() -> None:
     harness = CoreHarness()
-    session = harness.established(returns=False)
-    harness.say(session, "MOVE\r\n")
+    session = harness.open_established(returns=False)
+    harness.deliver(session, "MOVE\r\n")
     with pytest.raises(Interrupted) as error:
         harness.take(session)
     assert error.value.over and error.value.why == "moved" and error.value.unanswered == ()
@@ -63,7 +63,7 @@
 
 def test_failed_reconnects_spend_the_retry_budget_and_end_at_their_deadline() -> None:
     harness = CoreHarness(return_for_ms=30_000, retry_reserve=5)
-    session = harness.established()
+    session = harness.open_established()
     harness.end_connection(session)
     drained_at = harness.now
     while session.state is not SessionState.CLOSED:
@@ -72,14 +72,15 @@
         harness.advance(10)
     assert isinstance(session.error, Failed) and 30_000 <= harness.now - drained_at <= 31_500
     assert harness.core.figures().counters.lost == 1
-    assert len(harness.connects) <= 2 + 5 * 4  # the reserve, for each ten seconds and a bit
+    # the reserve of 5, for each of the four budget windows that 30 s can touch
+    assert len(harness.connects) <= 2 + 5 * 4
 
 
 def test_reconnects_wait_for_the_gate_of_their_class() -> None:
     harness = CoreHarness(setups=100)
-    sessions = [harness.established() for _ in range(50)]
+    sessions = [harness.open_established() for _ in range(50)]
     for session in sessions:
-        harness.say(session, "MOVE\r\n")
+        harness.deliver(session, "MOVE\r\n")
     harness.advance(10)
     first = next(s for s in sessions if s.state is SessionState.CONNECTING)
     harness.answer(first, "BUSY 5000")
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -54,7 +54,7 @@
     assert report.established == report.arrivals
     assert 150 <= report.established <= 250
     assert report.within_objective == report.established
-    assert 4.5 <= report.setup_times.at(50) <= 12
+    assert 4.5 <= report.setup_times.value_at(50) <= 12
     assert report.lines_sent > 300
     assert report.lines_unanswered <= 30
     assert report.broken == report.migrated == report.failed == 0 and report.distrust_reason() == ""
@@ -75,9 +75,9 @@
 
     report = against(body, setup_ms=1.0, max_queue_ms=5000.0)
     # one eighth of all arrivals waited half a second in the mean; a closed loop would have seen one of them
-    assert report.setup_times.at(50) < 5
-    assert report.setup_times.at(95) >= 300
-    assert report.setup_times.at(99) >= 700
+    assert report.setup_times.value_at(50) < 5
+    assert report.setup_times.value_at(95) >= 300
+    assert report.setup_times.value_at(99) >= 700
 
 
 @pytest.mark.parametrize(
@@ -137,4 +137,6 @@
     for part in parts:
         total.add(pickle.loads(pickle.dumps(part)))
     assert (total.arrivals, total.established, total.cpu_share, total.setup_times.count) == (5, 3, 0.5, 2)
-    assert total.setup_times.at(100) == pytest.approx(30.0, rel=0.02) and Histogram().at(99) == 0.0
+    assert (
+        total.setup_times.value_at(100) == pytest.approx(30.0, rel=0.02) and Histogram().value_at(99) == 0.0
+    )
--- a/walkloom/client/attempt_scheduler.py
+++ b/walkloom/client/attempt_scheduler.py
@@ -1,7 +1,7 @@
-"""Requests that wait for an attempt, and the start and end of attempts. No I/O.
+"""Queues requests, and starts and ends attempts. No I/O.
 
-An attempt starts when its class's gate admits it, fewer than `Limits.setups` are in flight, and a balancer
-is available; classes go in the order of their priority.
+An attempt starts when the admission gate of its class admits it, fewer than `Limits.setups` attempts are in
+flight, and a balancer is available. Classes are served in the order of their priority.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from walkloom.client.session import Session, SessionState
 from walkloom.client.settings import ClassPolicy
 
-# latency objectives that an attempt is given if another balancer could be asked after it
-FIRST_ATTEMPT_OBJECTIVES = 2.0
+# timeout of an attempt, in latency objectives of its class, if a retry on another balancer could follow
+FIRST_ATTEMPT_TIMEOUT_FACTOR = 2.0
 
 
 class AttemptScheduler:
@@ -44,19 +44,19 @@
         }
 
     def class_of(self, session: Session) -> RequestClass:
-        """The class of the session's requests."""
+        """Return the class of the session's requests."""
         return self.classes[session.policy.name]
 
-    # Waiting
+    # Queued requests
 
     def begin_request(self, session: Session, now: float) -> None:
-        """Begin a request; it ends by one result."""
+        """Begin a request; it ends with exactly one result."""
         self._context.counters.requests += 1
         session.begin_request(now, now + session.policy.request_timeout_ms)
         self.enqueue(session, now)
 
     def enqueue(self, session: Session, now: float) -> None:
-        """Let the request wait for its next attempt, or end it if that would come too late."""
+        """Queue the request for its next attempt, or end it if that attempt could not finish in time."""
         request_class = self.class_of(session)
         closed_until = request_class.gate.closed_until
         latest_start = request_class.latest_start(session)
@@ -74,35 +74,35 @@
             self._context.timers.schedule(session, latest_start)
 
     def timer_fired(self, session: Session, now: float) -> None:
-        """Handle the timer of a QUEUED session: its backoff, or its time for an attempt, is over."""
+        """Handle the timer of a QUEUED session: the end of its backoff, or its latest start."""
         latest_start = self.class_of(session).latest_start(session)
-        if session.is_queued and now < latest_start:  # set-ups have become faster since
+        if session.is_queued and now < latest_start:  # the estimated set-up time has dropped since then
             self._context.timers.schedule(session, latest_start)
             return
         session.is_queued = False
         self.enqueue(session, now)
 
     def reject_late_requests(self, request_class: RequestClass, now: float) -> None:
-        """Reject at once what is queued and cannot be in time after the gate opens."""
+        """Reject at once the queued requests that could not finish after the gate opens."""
         closed_until = request_class.gate.closed_until
         for session in list(request_class.queue):
             if session.is_queued and closed_until + request_class.min_attempt_ms > session.request_deadline:
                 self._results.fail(session, now, Rejected(closed_until - now))
 
-    # Starting
+    # Start of attempts
 
     def start_attempts(self, now: float) -> None:
         """Start attempts while there is room and a balancer is available."""
         for request_class in self.classes.values():
             while request_class.queue and self._has_room(request_class, now):
                 session = request_class.queue[0]
-                if not session.is_queued:  # it ended, or was closed, while it waited
+                if not session.is_queued:  # its request ended while it was queued
                     request_class.queue.popleft()
                     continue
                 may_probe = self._may_probe(session, now)
                 balancer = self._pool.acquire(now, session, session.attempted_balancers, may_probe)
                 if balancer is None:
-                    return  # for any class: which balancers are available does not depend on who asks
+                    return  # not `break`: the available balancers do not depend on the class
                 request_class.queue.popleft()
                 session.is_queued = False
                 self._start(session, request_class, balancer, now)
@@ -112,7 +112,7 @@
 
     def _may_probe(self, session: Session, now: float) -> bool:
         time_left_ms = session.request_deadline - now
-        return _has_attempts_left(session) and time_left_ms > _first_attempt_ms(session)
+        return _has_attempts_left(session) and time_left_ms > _first_attempt_timeout_ms(session)
 
     def _start(self, session: Session, request_class: RequestClass, balancer: Balancer, now: float) -> None:
         session.begin_attempt(balancer, now, now + self._attempt_timeout_ms(session, balancer, now))
@@ -125,15 +125,15 @@
         context.timers.schedule(session, min(now + context.limits.connect_ms, session.attempt_deadline))
 
     def _attempt_timeout_ms(self, session: Session, balancer: Balancer, now: float) -> float:
-        """All the time that is left, or less if a retry elsewhere could follow."""
+        """Return the time left, or less if a retry on another balancer could follow."""
         time_left_ms = session.request_deadline - now
-        first_attempt_ms = _first_attempt_ms(session)
-        time_for_another = time_left_ms - first_attempt_ms > self.class_of(session).min_attempt_ms
-        if _has_attempts_left(session) and time_for_another and self._pool.has_alternative(balancer):
-            return first_attempt_ms
+        first_attempt_timeout_ms = _first_attempt_timeout_ms(session)
+        has_time_for_retry = time_left_ms - first_attempt_timeout_ms > self.class_of(session).min_attempt_ms
+        if _has_attempts_left(session) and has_time_for_retry and self._pool.has_alternative(balancer):
+            return first_attempt_timeout_ms
         return time_left_ms
 
-    # Ending
+    # End of attempts
 
     def complete_attempt(self, session: Session) -> Balancer:
         """End the attempt in flight; its connection stays open."""
@@ -146,41 +146,40 @@
         return balancer
 
     def close_attempt(self, session: Session) -> Balancer:
-        """End the attempt in flight and its connection; the caller reports its outcome to the pool."""
+        """End the attempt in flight and its connection; the caller records its outcome in the pool."""
         balancer = self.complete_attempt(session)
         session.attempted_balancers = (*session.attempted_balancers, balancer)
         self._context.disconnect(session)
         return balancer
 
     def cancel_attempt(self, session: Session) -> Balancer:
-        """End the attempt in flight by the client's own will: it says nothing of its balancer."""
+        """Cancel the attempt in flight; this does not count against its balancer."""
         assert session.balancer
         self._pool.record_cancellation(session.balancer, session)
         return self.close_attempt(session)
 
-    # When to look again
+    # Times of the next start
 
     def admits_reconnect(self, class_name: str, now: float) -> bool:
         """Whether a reconnect of that class may begin its request now.
 
-        A request that is queued goes first: that guards its deadline against reconnects, whose time has not
-        begun.
+        A queued request goes first: its deadline is running, that of a reconnect not yet.
         """
         request_class = self.classes[class_name]
         has_room = self._has_room(request_class, now)
         return has_room and not request_class.queue and self._pool.has_available(now)
 
     def admitted_at(self, class_name: str, now: float) -> float:
-        """When a request of that class may start, as far as the clock decides it; else infinite."""
+        """Time at which a request of that class may start; infinite if that depends on an event."""
         request_class = self.classes[class_name]
         if request_class.gate.closed_until > now:
             return request_class.gate.closed_until
         if not self._has_room(request_class, now):
-            return math.inf  # the end of an attempt starts it
+            return math.inf  # the end of another attempt allows the start
         return now if self._pool.has_available(now) else self._pool.next_probe_at()
 
     def next_start_at(self, now: float) -> float:
-        """When `start_attempts` should be called again; infinite if only an event can start one."""
+        """Time of the next `start_attempts` call; infinite if only an event can allow a start."""
         waiting = (name for name, request_class in self.classes.items() if request_class.queue)
         return min((self.admitted_at(name, now) for name in waiting), default=math.inf)
 
@@ -190,5 +189,5 @@
     return session.attempts + 1 < session.policy.max_attempts
 
 
-def _first_attempt_ms(session: Session) -> float:
-    return FIRST_ATTEMPT_OBJECTIVES * session.policy.latency_objective_ms
+def _first_attempt_timeout_ms(session: Session) -> float:
+    return FIRST_ATTEMPT_TIMEOUT_FACTOR * session.policy.latency_objective_ms
--- a/walkloom/client/attempts.py
+++ b/walkloom/client/attempts.py
@@ -1,7 +1,7 @@
-"""The outcome of attempts: what an answer, a failure or a timeout means for the request. No I/O.
+"""Handles the outcome of attempts: answers, failures and timeouts. No I/O.
 
-A request that is not answered goes to another balancer while its deadline, its attempts and the retry budget
-allow it.
+A request without an answer is retried, on another balancer if possible, while its deadline, its number of
+attempts and the retry budget allow it.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from walkloom.client.session import Session, SessionState
 from walkloom.client.wire import BusyAnswer, EstablishedAnswer, MalformedAnswer, encode_opening_line
 
-MIN_ANSWER_MS = 1.0  # with less time left the opening line could not be answered; the timer ends the attempt
+MIN_ANSWER_MS = 1.0  # with less time left no answer can arrive in time; the timer ends the attempt
 REQUEST_ID_BITS = 64
 
 
@@ -57,27 +57,29 @@
     def data_received(self, session: Session, data: bytes, now: float) -> None:
         """Handle the answer, if it is complete."""
         if now >= session.attempt_deadline:
-            self._answered_late(session, now)
+            self._handle_late_answer(session, now)
             return
         try:
             answer = session.receive_answer(data, now)
         except ProtocolError as error:
-            self._protocol_error(session, error, now)
+            self._handle_protocol_error(session, error, now)
             return
         if answer is None:
             return
         self._record_answer(session)
         match answer:
             case EstablishedAnswer():
-                self._established_answer(session, now)
+                self._handle_established(session, now)
             case BusyAnswer(retry_after_ms):
-                self._rejected(session, now, retry_after_ms)
+                self._handle_rejection(session, now, retry_after_ms)
             case MalformedAnswer(line):
                 balancer = self._scheduler.close_attempt(session)
-                self._retry_after_backoff(session, now, f"the balancer answered {line!r}", balancer)
+                self._retry_after_backoff(
+                    session, now, f"unexpected answer of the balancer: {line!r}", balancer
+                )
 
     def connection_failed(self, session: Session, now: float, reason: str) -> None:
-        """Handle an attempt that brought no answer at all: that counts against its balancer."""
+        """Handle an attempt without any answer; this counts against its balancer."""
         balancer = self._scheduler.close_attempt(session)
         if self._pool.record_failure(balancer, session, now):
             self._context.counters.ejections += 1
@@ -85,7 +87,7 @@
         self._retry_after_backoff(session, now, reason, balancer)
 
     def timer_fired(self, session: Session, now: float) -> None:
-        """Handle a connect timeout or the deadline of the attempt."""
+        """Handle the connect timeout or the deadline of the attempt."""
         if now < session.attempt_deadline:
             connect_ms = self._context.limits.connect_ms
             self.connection_failed(session, now, f"no connection within {connect_ms:.0f} ms")
@@ -95,9 +97,11 @@
         if now - session.attempt_started_at >= session.policy.latency_objective_ms:
             self.connection_failed(session, now, "no answer")
             return
-        # guards a healthy balancer against blame for the little time that was left for it
+        # not a failure: a healthy balancer may need more than the short time that was left
         balancer = self._scheduler.cancel_attempt(session)
-        self._retry_after_backoff(session, now, "no answer in the little time left", balancer)
+        self._retry_after_backoff(
+            session, now, "no answer in the short time left before the deadline", balancer
+        )
 
     # Answers
 
@@ -106,24 +110,26 @@
         if self._pool.record_answer(session.balancer):
             logger.info("balancer_restored address=%s:%d", *session.balancer.address)
 
-    def _answered_late(self, session: Session, now: float) -> None:
-        """An answer after the deadline fails the attempt; and yet its balancer lives."""
+    def _handle_late_answer(self, session: Session, now: float) -> None:
+        """Fail the attempt whose answer came after its deadline; the balancer still counts as reachable."""
         assert session.balancer
         self._pool.record_answer(session.balancer)
         balancer = self._scheduler.close_attempt(session)
-        self._retry_after_backoff(session, now, "the answer came too late", balancer)
+        self._retry_after_backoff(
+            session, now, "the answer arrived after the deadline of the attempt", balancer
+        )
 
-    def _established_answer(self, session: Session, now: float) -> None:
+    def _handle_established(self, session: Session, now: float) -> None:
         self._scheduler.complete_attempt(session)
         request_class = self._scheduler.class_of(session)
         request_class.gate.record_success(now)
         request_class.record_setup_time(now - session.attempt_started_at)
         self._context.retry_budget.record_success(now)
         self._results.succeed(session, now)
-        if session.state is SessionState.BACKING_OFF:  # the answer and a migration came together
+        if session.state is SessionState.BACKING_OFF:  # the answer and a migration arrived in the same read
             self._established.migrate(session, now)
 
-    def _rejected(self, session: Session, now: float, retry_after_ms: float | None) -> None:
+    def _handle_rejection(self, session: Session, now: float, retry_after_ms: float | None) -> None:
         self._scheduler.close_attempt(session)
         request_class = self._scheduler.class_of(session)
         gate = request_class.gate
@@ -136,8 +142,8 @@
         error = Rejected(max(gate.closed_until - now, 0.0))
         self._retry(session, now, gate.closed_until, error)
 
-    def _protocol_error(self, session: Session, error: ProtocolError, now: float) -> None:
-        """The peer speaks something else: a retry would only bring more of it."""
+    def _handle_protocol_error(self, session: Session, error: ProtocolError, now: float) -> None:
+        """End the request without a retry: the peer does not speak the line protocol."""
         logger.warning("session_protocol_error session=%s error=%r", session.name, str(error))
         self._scheduler.cancel_attempt(session)
         self._results.fail(session, now, Failed(str(error)), is_final=True)
@@ -145,7 +151,7 @@
     # Retries
 
     def _retry_after_backoff(self, session: Session, now: float, reason: str, balancer: Balancer) -> None:
-        """Retry after a backoff, which grows only if there is no other balancer to go to."""
+        """Retry after a backoff, which doubles only if no other balancer is available."""
         limits = self._context.limits
         ceiling_ms = limits.backoff_ms
         if not self._pool.has_alternative(balancer):
@@ -153,7 +159,7 @@
         self._retry(session, now, now + self._context.random.random() * ceiling_ms, Failed(reason))
 
     def _retry(self, session: Session, now: float, not_before: float, error: ClientError) -> None:
-        """Queue one more attempt of the request, or end it with the error at once."""
+        """Queue another attempt of the request, or end the request at once with the error."""
         if now >= session.request_deadline:
             self._results.time_out(session, now)
             return
--- a/walkloom/client/balancer_pool.py
+++ b/walkloom/client/balancer_pool.py
@@ -1,8 +1,9 @@
-"""The balancers of one client: which one an attempt goes to, and which are ejected. No I/O.
+"""The balancers of one client: the choice of a balancer for an attempt, and ejection. No I/O.
 
-A balancer that failed EJECTION_THRESHOLD attempts in a row (no connection, a break, silence) is ejected for
-a backoff that doubles, drawn from its upper half. After it one attempt at a time probes the balancer, until
-one is answered. A rejection and an error are answers: they say nothing against the balancer.
+A balancer is ejected after EJECTION_THRESHOLD failed attempts in a row (no connection, a lost connection or
+no answer). The ejection lasts for a random part, at least half, of a backoff that doubles with each
+ejection. After that, one attempt at a time probes the balancer, until one is answered. Rejections and
+errors are answers and do not count against the balancer.
 """
 
 from __future__ import annotations
@@ -14,29 +15,29 @@
 
 from walkloom.client.errors import InvalidArgumentError
 
-EJECTION_THRESHOLD = 2  # failures in a row; a single one may be chance
+EJECTION_THRESHOLD = 2  # failures in a row; a single failure may be accidental
 INITIAL_EJECTION_MS = 250.0
-MAX_EJECTION_MS = 10_000.0  # a balancer that recovers is found again within this
+MAX_EJECTION_MS = 10_000.0  # longest time until a balancer that has recovered is probed
 
 
 @dataclass(slots=True, eq=False)
 class Balancer:
-    """One balancer (or a front before several), as this client knows it."""
+    """One balancer address (possibly shared by several balancers), and its health as seen by this client."""
 
     address: tuple[str, int]
     in_flight: int = 0  # attempts
     consecutive_failures: int = 0
-    consecutive_ejections: int = 0  # 0: it is not ejected
+    consecutive_ejections: int = 0  # 0: not ejected
     ejected_until: float = 0.0
-    probe_owner: object = None  # whose attempt probes it while it is ejected
+    probe_owner: object = None  # owner of the attempt that probes it while it is ejected
 
     @property
     def is_ejected(self) -> bool:
-        """Whether only probes go there."""
+        """Whether it is given no attempts but probes."""
         return self.consecutive_ejections > 0
 
     def awaits_probe(self) -> bool:
-        """Whether it is ejected and no probe is under way."""
+        """Whether it is ejected and no probe is in flight."""
         return self.is_ejected and self.probe_owner is None
 
     def may_be_probed(self, now: float) -> bool:
@@ -45,7 +46,7 @@
 
 
 class BalancerPool:
-    """Chooses balancers and learns from the outcome of attempts.
+    """Chooses balancers, and ejects them by the outcome of attempts.
 
     Raises InvalidArgumentError if there are no addresses.
     """
@@ -59,11 +60,11 @@
     def acquire(
         self, now: float, owner: object, attempted: Sequence[Balancer], may_probe: bool
     ) -> Balancer | None:
-        """Choose the balancer for one more attempt, in flight there until `release`; None if all must wait.
+        """Choose the balancer for an attempt, in flight there until `release`; None if none is available.
 
-        owner: whose attempt it is, handed back with its outcome.
-        attempted: those that the request was sent to already; chosen again only if no other is left.
-        may_probe: the request has the time and attempts to go elsewhere if the probe fails.
+        owner: the owner of the attempt, passed again when its outcome is recorded.
+        attempted: the balancers that the request has tried; chosen again only if there is no other.
+        may_probe: whether the request has the time and attempts for another balancer if the probe fails.
         """
         healthy = [balancer for balancer in self.balancers if not balancer.is_ejected]
         candidates = [balancer for balancer in healthy if balancer not in attempted] or healthy
@@ -90,11 +91,11 @@
         return any(not balancer.is_ejected or balancer.may_be_probed(now) for balancer in self.balancers)
 
     def has_alternative(self, balancer: Balancer) -> bool:
-        """Whether another balancer is healthy, for a retry."""
+        """Whether another balancer is not ejected and can take a retry."""
         return any(not other.is_ejected for other in self.balancers if other is not balancer)
 
     def release(self, balancer: Balancer) -> None:
-        """End an attempt, whatever its outcome; a `record_...` method reports that."""
+        """End an attempt; a `record_...` method records its outcome."""
         balancer.in_flight -= 1
 
     def record_answer(self, balancer: Balancer) -> bool:
@@ -106,12 +107,12 @@
         return was_ejected
 
     def record_failure(self, balancer: Balancer, owner: object, now: float) -> bool:
-        """Record an attempt without any answer; return whether the balancer is newly ejected."""
+        """Record an attempt without any answer; return whether this ejects the balancer."""
         balancer.consecutive_failures += 1
         was_ejected = balancer.is_ejected
         if was_ejected:
             if balancer.probe_owner is not owner:
-                return False  # it started before the ejection and proves nothing new
+                return False  # it started before the ejection, so it is not a failed probe
         elif balancer.consecutive_failures < EJECTION_THRESHOLD:
             return False
         balancer.probe_owner = None
@@ -121,11 +122,11 @@
         return not was_ejected
 
     def record_cancellation(self, balancer: Balancer, owner: object) -> None:
-        """Record an attempt that this client ended itself: nothing is learnt, and the next may probe."""
+        """Record an attempt that this client cancelled; if it was a probe, another may follow."""
         if balancer.probe_owner is owner:
             balancer.probe_owner = None
 
     def next_probe_at(self) -> float:
-        """When the next ejected balancer may be probed; infinite if none waits for a probe."""
+        """Return when the next ejected balancer may be probed; infinite if none waits for a probe."""
         waiting = (balancer.ejected_until for balancer in self.balancers if balancer.awaits_probe())
         return min(waiting, default=math.inf)
--- a/walkloom/client/blocking.py
+++ b/walkloom/client/blocking.py
@@ -1,6 +1,6 @@
-"""A blocking client for scripts: the asyncio client on a thread of its own.
+"""A blocking client for scripts, which runs the asyncio client on a separate thread.
 
-Sessions so reconnect and answer in time while the script does something else.
+Because of the thread, sessions answer the server and reconnect in time while the script is busy.
 
     with Client(["10.0.0.4:9000"], [ClassPolicy("tile-view", 300, 1200)]) as client:
         with client.open("tile-view", tenant="herb-serra") as session:
@@ -23,7 +23,7 @@
 
 
 class Client:
-    """`on_asyncio.Client` as a plain context manager; its sessions may be used from any thread."""
+    """`on_asyncio.Client` as a synchronous context manager; its sessions may be used from any thread."""
 
     def __init__(
         self,
@@ -62,18 +62,18 @@
     def run(self, coroutine: Coroutine[Any, Any, ResultT], timeout: float | None = None) -> ResultT:
         """Run a coroutine on the client's thread and return its result.
 
-        timeout: seconds; then it is cancelled, and TimeoutError raised.
+        timeout: seconds after which the coroutine is cancelled and TimeoutError is raised.
         """
         future = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
         try:
             return future.result(timeout)
-        except BaseException:  # a timeout, or Ctrl-C in the script: nobody waits for it any more
+        except BaseException:  # a timeout, or Ctrl-C in the script: the result is no longer needed
             future.cancel()
             raise
 
 
 class Session:
-    """`on_asyncio.Session` without await; iterable."""
+    """`on_asyncio.Session` with blocking methods; iterable."""
 
     def __init__(self, client: Client, session: on_asyncio.Session) -> None:
         self._client = client
@@ -81,12 +81,12 @@
 
     @property
     def receipt(self) -> str:
-        """What the server's newest `UP` line said."""
+        """The text after `UP` in the latest answer that established the session."""
         return self._session.receipt
 
     @property
     def established(self) -> bool:
-        """Whether it is established now; False while it reconnects and when it is closed."""
+        """Whether the session is established; False while it reconnects and after it is closed."""
         return self._session.established
 
     @property
@@ -97,14 +97,14 @@
     def send(self, line: str, timeout: float | None = None) -> None:
         """Send one line.
 
-        timeout: seconds to wait for room; then TimeoutError is raised and nothing is sent.
+        timeout: seconds to wait until the line may be sent; then TimeoutError is raised and nothing is sent.
         """
         self._client.run(self._session.send(line), timeout)
 
     def receive(self, timeout: float | None = None) -> str | None:
-        """Return the next line; None once the server has ended the session regularly.
+        """Return the next line; None after the server has ended the session regularly.
 
-        timeout: seconds to wait for it; then TimeoutError is raised and no line is lost.
+        timeout: seconds to wait for a line; then TimeoutError is raised and no line is lost.
         """
         return self._client.run(self._session.receive(), timeout)
 
@@ -118,7 +118,7 @@
         return line
 
     def close(self) -> None:
-        """End the session; harmless if it is closed."""
+        """End the session; does nothing if it is closed."""
         self._client.run(self._session.aclose())
 
     def __enter__(self) -> Self:
--- a/walkloom/client/commands.py
+++ b/walkloom/client/commands.py
@@ -1,4 +1,4 @@
-"""What the core asks of a driver, in the order in which `ClientCore.poll` returns it."""
+"""Commands of the core for its driver; `ClientCore.poll` returns them in the order of execution."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 class Connect(NamedTuple):
     """Open a connection, then call `connection_made` or `connect_failed`.
 
-    A `Disconnect` ends it when its time is over.
+    The driver needs no timeout: the core sends `Disconnect` at the deadline.
     """
 
     session: Session
@@ -27,9 +27,9 @@
 
 
 class Disconnect(NamedTuple):
-    """Close the connection, or give up opening it, and report nothing more of it.
+    """Close the connection, or stop opening it, and report no further events of it.
 
-    flush: write what is unwritten first.
+    flush: write the remaining bytes first.
     """
 
     session: Session
@@ -38,7 +38,7 @@
 
 
 class Notify(NamedTuple):
-    """Wake whoever waits for this session: to be established, for a line, or for room to send."""
+    """Wake the tasks that wait for this session: to be established, to receive, or to send."""
 
     session: Session
 
--- a/walkloom/client/context.py
+++ b/walkloom/client/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one client's core share: settings, chance, sessions, timers, commands and metrics."""
+"""The shared state of one client's core: limits, random source, sessions, timers, commands and metrics."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @dataclass
 class ClientContext:
-    """The state that several parts of one core use; each part keeps the rest of its state to itself."""
+    """The state that several components of one core share; all other state is private to its component."""
 
     limits: Limits
-    random: Random  # the one source of chance; the order of draws is part of a seeded run
+    random: Random  # the only random source; the result of a seeded run depends on the order of draws
     retry_budget: RetryBudget
     metrics: Metrics = field(default_factory=Metrics)
-    sessions: dict[int, Session] = field(default_factory=dict)  # that are not CLOSED, by id
-    commands: list[Command] = field(default_factory=list)  # for the driver's next poll
+    sessions: dict[int, Session] = field(default_factory=dict)  # by id; without CLOSED ones
+    commands: list[Command] = field(default_factory=list)  # returned to the driver by the next poll
     timers: TimerQueue = field(init=False)
 
     def __post_init__(self) -> None:
@@ -41,11 +41,11 @@
         self.commands.append(Disconnect(session, session.connection_id, flush))
 
     def notify(self, session: Session) -> None:
-        """Ask the driver to wake the session's callers."""
+        """Ask the driver to wake the tasks that wait for the session."""
         self.commands.append(Notify(session))
 
     def release_reserved_retry(self, session: Session, now: float) -> None:
-        """Give the session's reserved retry back, if it has one that did not start."""
+        """Return the session's reserved retry to the budget, if it has one that did not start."""
         if session.has_reserved_retry:
             session.has_reserved_retry = False
             self.retry_budget.release(now)
--- a/walkloom/client/core.py
+++ b/walkloom/client/core.py
@@ -1,19 +1,19 @@
-"""The core of one client: what its driver calls. No I/O and no clock.
+"""The core of one client: the interface that its driver calls. It does no I/O and reads no clock.
 
-A driver reports what happened (`connection_made`, `data_received`, ...) with the time, then calls `poll`,
-carries out the commands, and calls again at `next_wake_at` or when something else happens. Two rules hold
-throughout: a session has at most one connection at a time (`Disconnect` of the old one precedes `Connect` of
-the new one), and a request ends once, by `RequestResults` or by `close`.
+A driver reports each event (`connection_made`, `data_received`, ...) with the current time. It then calls
+`poll`, carries out the returned commands, and calls `poll` again at `next_wake_at` or after the next event.
+Two invariants hold: a session has at most one connection at a time (`Disconnect` of the old one precedes
+`Connect` of the new one), and a request ends exactly once, through `RequestResults` or through `close`.
 
-The parts, each with its own state:
+The components, each with its own state:
 
-    AttemptScheduler      requests that wait, and attempts in flight
-    AttemptHandler        what the outcome of an attempt means for its request
-    EstablishedSessions   lines and the end of connections
-    ReconnectScheduler    sessions without a connection that reconnect
+    AttemptScheduler      queued requests and attempts in flight
+    AttemptHandler        the outcome of an attempt: success, retry or error of its request
+    EstablishedSessions   lines on established connections, and the end of these connections
+    ReconnectScheduler    sessions that lost their connection and wait to reconnect
     RequestResults        the one result of each request
 
-Times are milliseconds of one monotonic clock; a step back counts as no time at all.
+Times are milliseconds of one monotonic clock. A time before the latest one is treated as the latest one.
 """
 
 from __future__ import annotations
@@ -40,14 +40,14 @@
 __all__ = ["ClientCore", "Command", "Connect", "Disconnect", "Notify", "Write"]
 
 MAX_ID = (1 << 64) - 1
-MAX_EXPECTED_LOAD = 1e9  # ms of work a second: far beyond any server
+MAX_EXPECTED_LOAD = 1e9  # ms of work per second; far above the load of any server
 
 
 class ClientCore:
     """All sessions of one client.
 
-    balancers: host and port of each. seed: of everything drawn by chance; None: the system's.
-    Raises InvalidArgumentError for settings that make no sense.
+    balancers: host and port of each. seed: of all random draws; None uses the system's entropy.
+    Raises InvalidArgumentError for invalid settings.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._context = ClientContext(limits, random, budget)
         self._pool = BalancerPool(balancers, random)
         if not classes or len({policy.name for policy in classes}) < len(classes):
-            raise InvalidArgumentError("classes", classes, "a client needs at least one class, each once")
+            raise InvalidArgumentError("classes", classes, "a client needs at least one class, and each once")
         policies = sorted(classes, key=lambda policy: -policy.priority_weight)
         self._reconnects = ReconnectScheduler(self._context, policies)
         self._results = RequestResults(self._context, self._reconnects)
@@ -72,10 +72,10 @@
         self._attempts = AttemptHandler(
             self._context, self._pool, self._scheduler, self._results, self._established
         )
-        self._newest_session_id = 0
+        self._last_session_id = 0
         self._now = -math.inf
 
-    # What the caller asks
+    # Calls of the application
 
     def open(
         self,
@@ -88,7 +88,7 @@
         load: float | None = None,
         returns: bool = True,
     ) -> Session:
-        """Open a session, whose first request begins now.
+        """Open a session and begin its first request now.
 
         Raises InvalidArgumentError for arguments out of range; Rejected, TimedOut or TooMany if the request
         cannot begin.
@@ -96,13 +96,15 @@
         now = self._advance_clock(now)
         request_class = self._scheduler.classes.get(cls)
         if request_class is None:
-            known = ", ".join(self._scheduler.classes)
-            raise InvalidArgumentError("cls", cls, f"no class {cls!r}; this client has {known}")
+            class_names = ", ".join(self._scheduler.classes)
+            raise InvalidArgumentError(
+                "cls", cls, f"no class {cls!r}; the classes of this client are {class_names}"
+            )
         attributes = _checked_attributes(SessionAttributes(cls, tenant, key, group, load))
         if len(self._context.sessions) >= self.limits.sessions:
-            raise TooMany(f"{self.limits.sessions} sessions are open")
-        self._newest_session_id += 1
-        session = Session(self._newest_session_id, request_class.policy, attributes, returns)
+            raise TooMany(f"{self.limits.sessions} sessions are open, which is the limit")
+        self._last_session_id += 1
+        session = Session(self._last_session_id, request_class.policy, attributes, returns)
         self._context.sessions[session.session_id] = session
         self._scheduler.begin_request(session, now)
         if session.state is SessionState.CLOSED:
@@ -111,9 +113,9 @@
         return session
 
     def send(self, session: Session, line: str, now: float) -> None:
-        """Send a line; only while `may_send`.
+        """Send a line; call only while `may_send` is true.
 
-        Raises InvalidArgumentError if it is no line.
+        Raises InvalidArgumentError if the line is invalid.
         """
         self._established.send(session, line, self._advance_clock(now))
 
@@ -123,20 +125,20 @@
         return session.state is SessionState.ESTABLISHED and has_room
 
     def wants_data(self, session: Session) -> bool:
-        """Whether its socket should be read: guards the memory against a caller that does not receive."""
+        """Whether its socket should be read; bounds memory if the caller does not receive."""
         has_room = len(session.inbox) < self.limits.lines_in
         return session.state is not SessionState.ESTABLISHED or has_room
 
     @staticmethod
     def has_pending(session: Session) -> bool:
-        """Whether `take_pending` has something for the caller."""
+        """Whether `take_pending` has a line, an error or the end of the session for the caller."""
         return bool(session.inbox) or session.state is SessionState.CLOSED
 
     def take_pending(self, session: Session) -> str | None:
         """Return the next line for the caller; None if the server ended the session regularly.
 
-        Only while `has_pending`. Raises Interrupted in its place among the lines, and the error of a session
-        that is closed.
+        Call only while `has_pending` is true. Raises Interrupted at the position of the interruption among
+        the lines, and the error that ended a closed session.
         """
         if session.inbox:
             item = session.inbox.popleft()
@@ -148,7 +150,7 @@
         return None
 
     def close(self, session: Session, now: float) -> None:
-        """End the session on behalf of its caller; harmless if it is closed."""
+        """End the session on behalf of its caller; does nothing if it is closed."""
         now = self._advance_clock(now)
         if session.state is SessionState.CLOSED:
             return
@@ -166,7 +168,7 @@
         established = sum(session.state is SessionState.ESTABLISHED for session in sessions)
         return self._context.metrics.snapshot(len(sessions), established)
 
-    # What happens to connections
+    # Connection events
 
     def connection_made(self, session: Session, connection_id: int, now: float) -> None:
         """Report that a connection is open."""
@@ -181,7 +183,7 @@
             self._attempts.connection_failed(session, now, reason)
 
     def data_received(self, session: Session, connection_id: int, data: bytes, now: float) -> None:
-        """Report bytes of the other side."""
+        """Report bytes received from the peer."""
         now = self._advance_clock(now)
         if connection_id != session.connection_id:
             return
@@ -191,23 +193,23 @@
             self._established.data_received(session, data, now)
 
     def connection_ended(self, session: Session, connection_id: int, now: float, reason: str = "") -> None:
-        """Report that the other side ended the connection; reason: what broke it, empty if nothing."""
+        """Report that the peer ended the connection; reason: the error, empty for a regular end."""
         now = self._advance_clock(now)
         if connection_id != session.connection_id:
             return
         if session.state is SessionState.CONNECTING:
-            reason = reason or "the balancer closed without an answer"
+            reason = reason or "the balancer closed the connection without an answer"
             self._attempts.connection_failed(session, now, reason)
         elif session.state is SessionState.ESTABLISHED:
             self._established.connection_ended(session, now, reason)
 
-    # What to do next
+    # Polling
 
     def poll(self, now: float) -> list[Command]:
-        """Do what is due, and return the commands for the driver, in order."""
+        """Handle due timers, reconnects and attempts; return the commands for the driver, in order."""
         now = self._advance_clock(now)
-        while (due := self._context.timers.pop_due(now)) is not None:
-            self._timer_fired(due, now)
+        while (due_session := self._context.timers.pop_due(now)) is not None:
+            self._timer_fired(due_session, now)
         while (session := self._next_reconnect(now)) is not None:
             self._scheduler.begin_request(session, now)
         self._scheduler.start_attempts(now)
@@ -216,7 +218,7 @@
         return commands
 
     def next_wake_at(self) -> float:
-        """When `poll` should be called again if nothing happens; infinite: never."""
+        """Time of the next `poll` call if no event comes before it; infinite for never."""
         return min(
             self._context.timers.next_due_at(),
             self._reconnects.next_release_at(lambda name: self._scheduler.admitted_at(name, self._now)),
@@ -245,11 +247,15 @@
 def _checked_attributes(attributes: SessionAttributes) -> SessionAttributes:
     tenant = attributes.tenant
     if not all("!" <= character <= "~" and character not in ",=" for character in tenant):
-        raise InvalidArgumentError("tenant", tenant, f"tenant {tenant!r}: no spaces, commas or equals signs")
+        raise InvalidArgumentError(
+            "tenant",
+            tenant,
+            f"tenant {tenant!r} must be printable ASCII without spaces, commas or equals signs",
+        )
     for name, value in (("key", attributes.client_key), ("group", attributes.affinity_group)):
         if not 0 <= value <= MAX_ID:
-            raise InvalidArgumentError(name, value, "key and group are 64 bits")
+            raise InvalidArgumentError(name, value, "key and group must fit in 64 bits")
     load = attributes.expected_load
     if load is not None and not (math.isfinite(load) and 0 <= load <= MAX_EXPECTED_LOAD):
-        raise InvalidArgumentError("load", load, "load is 0 to 1e9 ms of work a second")
+        raise InvalidArgumentError("load", load, "load must be 0 to 1e9 ms of work per second")
     return attributes
--- a/walkloom/client/driver.py
+++ b/walkloom/client/driver.py
@@ -1,7 +1,6 @@
-"""What the drivers share: Client and Session around the core, for any event loop.
+"""The part of the drivers that does not depend on the event loop: Client and Session around the core.
 
-An event loop brings its clock, its events and its connections (`on_trio`, `on_asyncio`); the order of things
-is here.
+`on_trio` and `on_asyncio` add the clock, the events and the connections of their event loop.
 """
 
 from __future__ import annotations
@@ -19,42 +18,42 @@
 from walkloom.client.settings import ClassPolicy, Limits, parse_address
 from walkloom.client.wire import encode_line
 
-FLUSH_TIMEOUT_S = 1.0  # for a connection that is closed after what is unwritten
+FLUSH_TIMEOUT_S = 1.0  # time to write the remaining bytes before a connection is closed
 
 
 class Event(Protocol):
-    """An event of the loop; set once."""
+    """An event of the event loop; set once."""
 
     def set(self) -> None:
-        """Wake all that wait."""
+        """Wake all waiting tasks."""
 
     async def wait(self) -> object:
         """Wait until it is set."""
 
 
 class Connection(Protocol):
-    """One connection from its opening to its end; it reports to the core what happens to it."""
+    """One connection from its opening to its end; reports its events to the core."""
 
     connection_id: int
 
     def write(self, data: bytes) -> None:
-        """Write the bytes, now or when there is room."""
+        """Write the bytes, now or when the socket accepts them."""
 
     def resume_reading(self) -> None:
-        """Read again if there is room, because the caller has received."""
+        """Read again if the inbox has room; called after the caller has received."""
 
     def disconnect(self, flush: bool) -> None:
-        """Close it, whatever it is doing, and report nothing more.
+        """Close the connection in any state, and report no further events.
 
-        flush: write what is unwritten first, within FLUSH_TIMEOUT_S.
+        flush: write the remaining bytes first, within FLUSH_TIMEOUT_S.
         """
 
 
 class BaseClient(ABC):
-    """A client of walkloom's balancers, as an async context manager; its end closes all its sessions.
+    """A client of walkloom's balancers; an async context manager whose exit closes all sessions.
 
-    balancers: `host:port` each. classes: at least one. seed: of everything drawn by chance.
-    Raises InvalidArgumentError for settings that make no sense; see `walkloom.client.errors` for the rest.
+    balancers: `host:port` of each. classes: at least one. seed: of all random draws.
+    Raises InvalidArgumentError for invalid settings; see `walkloom.client.errors` for the other errors.
     """
 
     def __init__(
@@ -81,12 +80,12 @@
         """Return the loop's monotonic clock in ms."""
 
     @abstractmethod
-    def _event(self) -> Event:
-        """Return a new event of the loop."""
+    def _create_event(self) -> Event:
+        """Return a new event of the event loop."""
 
     @abstractmethod
     async def _checkpoint(self) -> None:
-        """Let other tasks run, and a cancellation arrive."""
+        """Let other tasks run, and let a cancellation take effect."""
 
     @abstractmethod
     def _connect(self, session: CoreSession, connection_id: int, address: tuple[str, int]) -> Connection:
@@ -94,7 +93,7 @@
 
     @abstractmethod
     def _schedule_step(self, at: float) -> None:
-        """Call `step` at that time (ms; infinite: never), instead of the time scheduled before."""
+        """Call `step` at that time (ms; infinite for never). Replaces the time scheduled before."""
 
     async def open(
         self,
@@ -106,11 +105,11 @@
         load: float | None = None,
         returns: bool = True,
     ) -> Session:
-        """Open a session: within the class's timeout it is established, or an error is raised.
+        """Open a session; returns once it is established, or raises within the timeout of its class.
 
-        key, group: 64 bits; they go with every attempt and every reconnect.
-        load: a guess at its load, in ms of work a second.
-        returns: whether the session reconnects by itself after a migration or a break.
+        key, group: 64 bits each; sent with every attempt and every reconnect.
+        load: the expected load of the connection, in ms of work per second.
+        returns: whether the session reconnects automatically after a migration or a lost connection.
         Raises Rejected, TimedOut, Failed or TooMany; InvalidArgumentError for an unknown class.
         """
         session = self.core.open(
@@ -121,7 +120,7 @@
             while session.state in (SessionState.QUEUED, SessionState.CONNECTING):
                 await self.wait_for_change(session)
             await self._checkpoint()
-        except BaseException:  # the caller waits no more, for whatever reason: nobody else would close it
+        except BaseException:  # cancellation included: the caller has no session object to close
             self.close(session)
             raise
         if not session.was_established and session.error:
@@ -139,17 +138,17 @@
                 case Connect(session, connection_id, address):
                     self.connections[session.session_id] = self._connect(session, connection_id, address)
                 case Write(session, connection_id, data):
-                    if connection := self._find(session, connection_id):
+                    if connection := self._find_connection(session, connection_id):
                         connection.write(data)
                 case Disconnect(session, connection_id, flush):
-                    if connection := self._find(session, connection_id):
+                    if connection := self._find_connection(session, connection_id):
                         del self.connections[session.session_id]
                         connection.disconnect(flush)
                 case Notify(session):
                     self.notify(session)
         self._schedule_step(self.core.next_wake_at())
 
-    def _find(self, session: CoreSession, connection_id: int) -> Connection | None:
+    def _find_connection(self, session: CoreSession, connection_id: int) -> Connection | None:
         connection = self.connections.get(session.session_id)
         return connection if connection and connection.connection_id == connection_id else None
 
@@ -162,11 +161,11 @@
     async def wait_for_change(self, session: CoreSession) -> None:
         """Wait for the session's next notification."""
         if session.session_id not in self._waiters:
-            self._waiters[session.session_id] = self._event()
+            self._waiters[session.session_id] = self._create_event()
         await self._waiters[session.session_id].wait()
 
     def notify(self, session: CoreSession) -> None:
-        """Wake whoever waits for the session."""
+        """Wake the tasks that wait for the session."""
         event = self._waiters.pop(session.session_id, None)
         if event is not None:  # a trio event has no truth value
             event.set()
@@ -178,11 +177,11 @@
 
     async def send(self, session: CoreSession, line: str) -> None:
         """Send a line when there is room for it; see `Session.send`."""
-        encode_line(line)  # an invalid line is reported at once, not after a reconnect
+        encode_line(line)  # reports an invalid line at once, not after a reconnect
         await self._checkpoint()
         while not self.core.may_send(session):
             if session.state is SessionState.CLOSED:
-                raise session.error or Failed("the session is over")
+                raise session.error or Failed("the session is closed")
             await self.wait_for_change(session)
         self.core.send(session, line, self.now())
         self.step()
@@ -200,9 +199,9 @@
 
 
 class Session:
-    """A session, as `Client.open` returns it; an async context manager.
+    """A session, returned by `Client.open`; an async context manager.
 
-    One task may send while another receives.
+    One task may send while another one receives.
     """
 
     def __init__(self, client: BaseClient, core_session: CoreSession) -> None:
@@ -211,17 +210,17 @@
 
     @property
     def receipt(self) -> str:
-        """What the server's newest `UP` line said."""
+        """The text after `UP` in the latest answer that established the session."""
         return self._core_session.receipt
 
     @property
     def load(self) -> float | None:
-        """The connection's load as its server reported it last, in ms of work a second."""
+        """The latest load that the server reported for the connection, in ms of work per second."""
         return self._core_session.load
 
     @property
     def established(self) -> bool:
-        """Whether it is established now; False while it reconnects and when it is closed."""
+        """Whether the session is established; False while it reconnects and after it is closed."""
         return self._core_session.state is SessionState.ESTABLISHED
 
     @property
@@ -230,18 +229,19 @@
         return self.established
 
     async def send(self, line: str) -> None:
-        """Send one line, whole or (when cancelled) not at all.
+        """Send one line; if cancelled, either all of the line or nothing is sent.
 
-        Waits while the session reconnects, or while `Limits.lines_out` lines are unanswered.
-        Raises InvalidArgumentError if it is no line, and what ended the session if it is closed.
+        Waits while the session reconnects, while `Limits.lines_out` lines are unanswered, or while
+        `Limits.bytes_out` bytes are unwritten. Raises InvalidArgumentError if the line is invalid, and the
+        error that ended the session if it is closed.
         """
         await self._client.send(self._core_session, line)
 
     async def receive(self) -> str | None:
-        """Return the next line from the server; None once it has ended the session regularly.
+        """Return the next line from the server; None after the server has ended the session regularly.
 
-        Raises Interrupted if lines were left unanswered; after that, receive goes on. Raises what ended the
-        session if it is closed for another reason.
+        Raises Interrupted if the connection was lost with lines unanswered; call `receive` again to continue.
+        Raises the error that ended the session if it is closed for another reason.
         """
         return await self._client.receive(self._core_session)
 
@@ -255,7 +255,7 @@
         return line
 
     async def aclose(self) -> None:
-        """End the session; what was sent before is still written. Harmless if it is closed."""
+        """End the session; lines sent before are still written. Does nothing if it is closed."""
         self._client.close(self._core_session)
 
     async def __aenter__(self) -> Self:
--- a/walkloom/client/errors.py
+++ b/walkloom/client/errors.py
@@ -1,17 +1,17 @@
 """The exceptions of the client library.
 
     ClientError
-    +-- Rejected        a balancer, or the admission gate of the request's class, turned the request down
+    +-- Rejected        a balancer, or the admission gate of the request's class, rejected the request
     +-- TimedOut        the request's deadline leaves no time for another attempt
-    +-- Failed          the request, or the session for good, failed
-    +-- TooMany         the client's limit of sessions is reached
+    +-- Failed          the request failed, or the session ended with an error
+    +-- TooMany         the session limit of the client is reached
     +-- Interrupted     an established session lost its connection with lines unanswered
     +-- ProtocolError   the peer does not speak the line protocol
 
     ValueError
     +-- InvalidArgumentError   a setting or an argument is out of range
 
-Every message is one sentence for a person. `Refused` is the former name of `Rejected` and stays for one
+Messages are meant for people, not for parsing. `Refused` is the former name of `Rejected`, kept for one
 release.
 """
 
@@ -19,14 +19,14 @@
 
 
 class ClientError(Exception):
-    """Base class of everything that the library raises on purpose."""
+    """Base class of the errors of the library, except InvalidArgumentError."""
 
 
 class Rejected(ClientError):
-    """A balancer, or the admission gate after an earlier rejection, turned the request down.
+    """A balancer, or the admission gate after an earlier rejection, rejected the request.
 
     Attributes:
-        retry_after: milliseconds from the raise after which a retry makes sense; 0.0 if none was given.
+        retry_after: milliseconds to wait before a retry, counted from the raise; 0.0 if no wait is needed.
     """
 
     def __init__(self, retry_after: float) -> None:
@@ -42,7 +42,7 @@
 
 
 class Failed(ClientError):
-    """The request failed, or the session ended for good; the message says why."""
+    """The request failed, or the session ended with an error; the message gives the reason."""
 
 
 class TooMany(ClientError):
@@ -50,14 +50,14 @@
 
 
 class Interrupted(ClientError):
-    """An established session was migrated or broke while lines were unanswered.
+    """An established session was migrated or lost its connection while lines were unanswered.
 
-    `receive` raises it once; call `receive` again to go on. The server may have processed the unanswered
+    `receive` raises it once; call `receive` again to continue. The server may have processed the unanswered
     lines; the library never sends them again.
 
     Attributes:
-        unanswered: those lines, oldest first, as they were given to `send`.
-        why: "moved" for a migration, otherwise what broke.
+        unanswered: the unanswered lines, oldest first, as passed to `send`.
+        why: "moved" for a migration, otherwise the error.
         over: whether the session ends here (`open(..., returns=False)`) instead of reconnecting.
     """
 
@@ -69,11 +69,11 @@
 
 
 class InvalidArgumentError(ValueError):
-    """A setting or an argument is out of range; raised before anything happens.
+    """A setting or an argument is out of range; raised before it has any effect.
 
     Attributes:
-        name: of the setting or the argument.
-        value: what was given.
+        name: name of the setting or the argument.
+        value: the invalid value.
     """
 
     def __init__(self, name: str, value: object, message: str) -> None:
--- a/walkloom/client/established.py
+++ b/walkloom/client/established.py
@@ -1,4 +1,4 @@
-"""Established sessions: lines both ways, migrations, breaks, and lines that nobody answers. No I/O."""
+"""Established sessions: lines in both directions, migrations, lost connections, answer timeouts. No I/O."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     def send(self, session: Session, line: str, now: float) -> None:
         """Write a line of the caller.
 
-        Raises InvalidArgumentError as `encode_line`.
+        Raises InvalidArgumentError like `encode_line`.
         """
         context = self._context
         data = encode_line(line)
@@ -32,29 +32,29 @@
             context.timers.schedule(session, answer_deadline)
 
     def data_received(self, session: Session, data: bytes, now: float) -> None:
-        """Handle the lines that are complete."""
+        """Handle received bytes: process the lines that are complete."""
         try:
             lines = session.line_buffer.feed(data)
         except ProtocolError as error:
-            self._protocol_error(session, error, now)
+            self._handle_protocol_error(session, error, now)
             return
         if not lines:
             return
-        pending_before = len(session.inbox)
+        inbox_size_before = len(session.inbox)
         for delay_ms in session.receive_lines(lines, now):
             self._context.metrics.record_line_delay(session.policy.name, delay_ms)
-        self._context.counters.lines_received += len(session.inbox) - pending_before
+        self._context.counters.lines_received += len(session.inbox) - inbox_size_before
         if session.state is SessionState.BACKING_OFF:
             self.migrate(session, now)
         self._context.notify(session)
 
     def migrate(self, session: Session, now: float) -> None:
-        """Follow the server's wish that the session reconnects elsewhere."""
+        """Disconnect and reconnect a session that the server asked to migrate."""
         self._context.disconnect(session)
         self._reconnects.connection_lost(session, now, MIGRATED)
 
     def connection_ended(self, session: Session, now: float, reason: str) -> None:
-        """Handle the end of the connection by the other side; reason: what broke it, empty if nothing."""
+        """Handle the end of the connection by the peer; reason: the error, empty for a regular end."""
         self._context.disconnect(session)
         if session.goodbye_received and not reason:
             if session.unanswered:
@@ -65,19 +65,21 @@
             self._reconnects.connection_lost(session, now, reason)
 
     def timer_fired(self, session: Session, now: float) -> None:
-        """Break the session if its oldest line has been unanswered for too long."""
+        """Close the connection if its oldest line has been unanswered for `Limits.silence_ms`."""
         sent_at = session.oldest_unanswered_at()
-        # The sum, as the timer was set: the difference may be rounded below the limit, and the timer be due
-        # at once for ever.
+        # Computed as a sum, as when the timer was set. The difference `now - sent_at` may be rounded below
+        # the limit; the timer would then be due again at once, without end.
         due_at = sent_at + self._context.limits.silence_ms
         if now >= due_at:
             self._context.disconnect(session)
-            self._reconnects.connection_lost(session, now, f"a line had no answer for {now - sent_at:.0f} ms")
+            self._reconnects.connection_lost(
+                session, now, f"a line was unanswered for {now - sent_at:.0f} ms"
+            )
         else:
             self._context.timers.schedule(session, due_at)
 
-    def _protocol_error(self, session: Session, error: ProtocolError, now: float) -> None:
-        """The peer speaks something else: the session ends, a reconnect would only bring more of it."""
+    def _handle_protocol_error(self, session: Session, error: ProtocolError, now: float) -> None:
+        """End the session without a reconnect: the peer does not speak the line protocol."""
         logger.warning("session_protocol_error session=%s error=%r", session.name, str(error))
         self._context.disconnect(session)
         session.interrupt(str(error), is_final=False)
--- a/walkloom/client/metrics.py
+++ b/walkloom/client/metrics.py
@@ -1,6 +1,6 @@
 """Metrics of one client: counters, and histograms of set-up time and line delay for each class.
 
-Names of the first release (`up`, `refused`, `tries`, ...) stay readable beside the new ones for one release.
+The names of the first release (`up`, `refused`, `tries`, ...) can still be read for one release.
 """
 
 from __future__ import annotations
@@ -9,15 +9,15 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-MAX_RECORDED_US = 600_000_000  # ten minutes, as the longest request
-SIGNIFICANT_DIGITS = 2  # three would cost eight times the memory
+MAX_RECORDED_US = 600_000_000  # ten minutes, the longest request timeout
+SIGNIFICANT_DIGITS = 2  # three need eight times the memory
 
 
 @dataclass(slots=True)
 class Counters:
     """Counts since the client's start.
 
-    A request ends as one of established, rejected, timed_out, failed and abandoned.
+    Each request counts as exactly one of established, rejected, timed_out, failed and abandoned when it ends.
     """
 
     requests: int = 0
@@ -25,19 +25,19 @@
     rejected: int = 0
     timed_out: int = 0
     failed: int = 0
-    abandoned: int = 0  # by the caller
+    abandoned: int = 0  # closed by the caller before they had a result
     attempts: int = 0
-    retries: int = 0  # attempts of a request after its first, and of a reconnect after one that failed
-    budget_exhausted: int = 0  # retries that the budget did not allow
-    gate_closures: int = 0  # times that a rejection closed a class's admission gate, or for longer
-    ejections: int = 0  # times that a balancer was ejected
+    retries: int = 0  # attempts after the first of a request, and those of a reconnect after a failed one
+    budget_exhausted: int = 0  # retries that the retry budget did not allow
+    gate_closures: int = 0  # rejections that closed an admission gate or extended its closure
+    ejections: int = 0  # ejections of balancers
     migrated: int = 0  # connections that the server asked to reconnect elsewhere
     broken: int = 0  # connections that ended without a goodbye
     reconnected: int = 0
-    lost: int = 0  # sessions that could not reconnect
+    lost: int = 0  # sessions that ended because they could not reconnect
     lines_sent: int = 0
     lines_received: int = 0
-    max_late_ms: float = 0.0  # the latest end of an attempt after its deadline: the event loop's delay
+    max_late_ms: float = 0.0  # longest delay of an attempt's end after its deadline, due to the event loop
 
     @property
     def up(self) -> int:
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """Percentiles of one histogram, in ms, to two digits."""
+    """Percentiles of one histogram, in ms, to two significant digits."""
 
     count: int
     p50: float
@@ -103,13 +103,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """A snapshot of one client, as `Client.figures()` returns it."""
+    """A snapshot of the metrics of one client, returned by `Client.figures()`."""
 
     counters: Counters
-    sessions: int  # that are not closed
+    sessions: int  # not closed
     established: int
     setup_times: dict[str, Spread]  # by class; from the start of the request until it is established
-    line_delays: dict[str, Spread]  # by class; from a line to its answer
+    line_delays: dict[str, Spread]  # by class; from sending a line until its answer
 
     @property
     def standing(self) -> int:
@@ -128,10 +128,7 @@
 
 
 class Histogram:
-    """Delays in ms, to two digits.
-
-    It can be pickled, and merged with others.
-    """
+    """A histogram of delays in ms, to two significant digits; can be pickled, and merged with others."""
 
     def __init__(self) -> None:
         self._histogram = HdrHistogram(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS)
@@ -141,23 +138,25 @@
         self._histogram.record_value(max(min(int(ms * 1000.0), MAX_RECORDED_US), 1))
 
     def merge(self, other: Histogram) -> None:
-        """Add all delays of another histogram."""
+        """Add the delays of another histogram."""
         self._histogram.add(other._histogram)
 
     @property
     def count(self) -> int:
-        """How many delays were recorded."""
+        """Number of recorded delays."""
         return int(self._histogram.get_total_count())
 
-    def at(self, percentile: float) -> float:
-        """Return a percentile (0 to 100) in ms; 0.0 if nothing was recorded."""
+    def value_at(self, percentile: float) -> float:
+        """Return the value at a percentile (0 to 100) in ms; 0.0 if nothing was recorded."""
         if not self.count:
             return 0.0
         return float(self._histogram.get_value_at_percentile(percentile)) / 1000.0
 
     def spread(self) -> Spread:
-        """Return the usual percentiles."""
-        return Spread(self.count, self.at(50.0), self.at(90.0), self.at(99.0), self.at(100.0))
+        """Return the percentiles that `Figures` reports."""
+        return Spread(
+            self.count, self.value_at(50.0), self.value_at(90.0), self.value_at(99.0), self.value_at(100.0)
+        )
 
     def __getstate__(self) -> bytes:
         return bytes(self._histogram.encode())
@@ -171,19 +170,19 @@
     """The counters and histograms of one client."""
 
     counters: Counters = field(default_factory=Counters)
-    setup_times: dict[str, Histogram] = field(default_factory=dict)  # as each class is first seen
+    setup_times: dict[str, Histogram] = field(default_factory=dict)  # by class, once it has a value
     line_delays: dict[str, Histogram] = field(default_factory=dict)
 
     def record_setup(self, class_name: str, duration_ms: float) -> None:
         """Record how long a request took to be established."""
-        self._of_class(self.setup_times, class_name).add(duration_ms)
+        self._histogram_of_class(self.setup_times, class_name).add(duration_ms)
 
     def record_line_delay(self, class_name: str, delay_ms: float) -> None:
         """Record how long a line waited for its answer."""
-        self._of_class(self.line_delays, class_name).add(delay_ms)
+        self._histogram_of_class(self.line_delays, class_name).add(delay_ms)
 
     def snapshot(self, sessions: int, established: int) -> Figures:
-        """Return a copy for the user."""
+        """Return the counters and percentiles as `Figures`."""
         return Figures(
             replace(self.counters),
             sessions,
@@ -193,7 +192,7 @@
         )
 
     @staticmethod
-    def _of_class(histograms: dict[str, Histogram], class_name: str) -> Histogram:
-        if class_name not in histograms:  # not `setdefault`: a histogram costs kilobytes
+    def _histogram_of_class(histograms: dict[str, Histogram], class_name: str) -> Histogram:
+        if class_name not in histograms:  # not `setdefault`: it would build a histogram (kilobytes) each time
             histograms[class_name] = Histogram()
         return histograms[class_name]
--- a/walkloom/client/on_asyncio.py
+++ b/walkloom/client/on_asyncio.py
@@ -1,11 +1,11 @@
-"""The client on asyncio: the same names and behaviour as on trio.
+"""The client on asyncio, with the same interface and behaviour as on trio.
 
     async with Client(["10.0.0.4:9000"], [ClassPolicy("tile-view", 300, 1200)]) as client:
         async with await client.open("tile-view", tenant="herb-serra") as session:
             await session.send("sheet 17")
             print(await session.receive())
 
-A protocol object for each connection, and a task only while it is opened; one timer for the whole client.
+Each connection has a protocol object, and a task only while it is being opened; the client has one timer.
 """
 
 from __future__ import annotations
@@ -27,20 +27,21 @@
     async def __aenter__(self) -> Self:
         self.loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
-        self._step_at = math.inf
-        self.buffer = memoryview(bytearray(READ_CHUNK_BYTES))  # of all reads: each is used before the next
+        self._next_step_at = math.inf
+        # shared by all reads: the data is copied before the next read
+        self.buffer = memoryview(bytearray(READ_CHUNK_BYTES))
         return self
 
     async def __aexit__(self, *_: object) -> None:
         self._set_timer(math.inf)
         self._disconnect_all()
-        await asyncio.sleep(0)  # the sockets close in the loop's next round
+        await asyncio.sleep(0)  # the sockets close in the next iteration of the loop
 
     def now(self) -> float:
-        """The loop's clock, ms."""
+        """Return the clock of the event loop, in ms."""
         return self.loop.time() * 1000.0
 
-    def _event(self) -> asyncio.Event:
+    def _create_event(self) -> asyncio.Event:
         return asyncio.Event()
 
     async def _checkpoint(self) -> None:
@@ -50,17 +51,17 @@
         return _Connection(self, session, connection_id, address)
 
     def _schedule_step(self, at: float) -> None:
-        if at < self._step_at or at == math.inf:
+        if at < self._next_step_at or at == math.inf:
             self._set_timer(at)
 
     def _set_timer(self, at: float) -> None:
         if self._timer:
             self._timer.cancel()
-        self._step_at = at
+        self._next_step_at = at
         self._timer = self.loop.call_at(at / 1000.0, self._timer_fired) if at < math.inf else None
 
     def _timer_fired(self) -> None:
-        self._step_at = math.inf
+        self._next_step_at = math.inf
         self._timer = None
         self.step()
 
@@ -94,7 +95,7 @@
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(high=self.client.limits.bytes_out)
-        if self._disconnected:  # in the moment in which it opened
+        if self._disconnected:  # `disconnect` was called while the connection was being opened
             transport.abort()
 
     def get_buffer(self, sizehint: int) -> memoryview:
@@ -117,13 +118,13 @@
             self._transport.resume_reading()
 
     def eof_received(self) -> bool:
-        self._ended("")
+        self._report_end("")
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        self._ended(f"the connection broke: {error}" if error else "")
+        self._report_end(f"connection broke: {error}" if error else "")
 
-    def _ended(self, reason: str) -> None:
+    def _report_end(self, reason: str) -> None:
         if not self._disconnected:
             self.client.core.connection_ended(self.session, self.connection_id, self.client.now(), reason)
             self.client.step()
--- a/walkloom/client/on_trio.py
+++ b/walkloom/client/on_trio.py
@@ -5,8 +5,8 @@
             await session.send("sheet 17")
             print(await session.receive())
 
-One task for each connection, which opens and reads it; one for the client's timer. What is written goes to
-the socket at once; only if the socket does not take it all, a task writes the rest.
+Each connection has one task, which opens and reads it; the client has one task for its timer. Bytes are
+written to the socket at once; if the socket does not accept all of them, another task writes the rest.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
     async def __aenter__(self) -> Self:
         self._rescheduled = trio.Event()
-        self._step_at = math.inf
+        self._next_step_at = math.inf
         self._nursery_manager = trio.open_nursery()
         self.nursery = await self._nursery_manager.__aenter__()
         self.nursery.start_soon(self._run_timer)
@@ -42,14 +42,14 @@
     async def __aexit__(self, *_: object) -> None:
         self._disconnect_all()
         self.nursery.cancel_scope.cancel()
-        # the caller's own exception goes on as it is, not within a group of the nursery's
+        # the caller's exception propagates unchanged, not wrapped in an exception group of the nursery
         await self._nursery_manager.__aexit__(None, None, None)
 
     def now(self) -> float:
-        """The clock of the trio run, ms."""
+        """Return the clock of the trio run, in ms."""
         return trio.current_time() * 1000.0
 
-    def _event(self) -> trio.Event:
+    def _create_event(self) -> trio.Event:
         return trio.Event()
 
     async def _checkpoint(self) -> None:
@@ -61,14 +61,14 @@
         return connection
 
     def _schedule_step(self, at: float) -> None:
-        if at < self._step_at:
+        if at < self._next_step_at:
             self._rescheduled.set()
 
     async def _run_timer(self) -> None:
         while True:
             self._rescheduled = trio.Event()
-            self._step_at = self.core.next_wake_at()
-            with trio.move_on_after(max(self._step_at - self.now(), 0.0) / 1000.0):
+            self._next_step_at = self.core.next_wake_at()
+            with trio.move_on_after(max(self._next_step_at - self.now(), 0.0) / 1000.0):
                 await self._rescheduled.wait()
             self.step()
 
@@ -83,7 +83,7 @@
         self._scope = trio.CancelScope()
         self._socket: socket.socket | None = None
         self._unwritten = bytearray()
-        self._may_read = trio.Event()
+        self._reading_allowed = trio.Event()
 
     async def run(self, address: tuple[str, int]) -> None:
         """Open the connection and read it to its end."""
@@ -107,7 +107,8 @@
         self._socket = socket.socket(family, kind, protocol)
         new_socket = self._socket
         new_socket.setblocking(False)
-        new_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # a line waits for no ACK of another
+        # send a line without waiting for the ACK of the previous one
+        new_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         code = new_socket.connect_ex(resolved)
         if code not in (0, errno.EINPROGRESS):
             raise OSError(code, os.strerror(code))
@@ -117,7 +118,7 @@
             raise OSError(code, os.strerror(code))
 
     async def _read_guarded(self) -> str:
-        """Read to the end; guards the other sessions against a fault of the library in this one."""
+        """Read to the end; an unexpected exception ends this connection only, not the other sessions."""
         try:
             return await self._read()
         except Exception as error:
@@ -125,16 +126,16 @@
             return repr(error)
 
     async def _read(self) -> str:
-        """Read until the other side ends the connection; return what broke it, empty if nothing."""
+        """Read until the peer ends the connection; return the error, empty for a regular end."""
         client = self.client
-        while self._socket:  # `disconnect` closes it, also from within this very task
+        while self._socket:  # `disconnect` closes it, also when called from this task
             try:
                 await trio.lowlevel.wait_readable(self._socket)
-                if self._socket is None:  # closed between the wake-up and now
+                if self._socket is None:  # closed between the wake-up and this line
                     break
                 if not client.core.wants_data(self.session):
-                    self._may_read = trio.Event()
-                    await self._may_read.wait()
+                    self._reading_allowed = trio.Event()
+                    await self._reading_allowed.wait()
                     continue
                 data = self._socket.recv(READ_CHUNK_BYTES)
             except BlockingIOError:
@@ -142,7 +143,7 @@
             except trio.ClosedResourceError:
                 break
             except OSError as error:
-                return f"the connection broke: {error.strerror}"
+                return f"connection broke: {error.strerror}"
             if not data:
                 return ""
             client.core.data_received(self.session, self.connection_id, data, client.now())
@@ -150,7 +151,7 @@
         return ""
 
     def resume_reading(self) -> None:
-        self._may_read.set()
+        self._reading_allowed.set()
 
     def write(self, data: bytes) -> None:
         was_idle = not self._unwritten
@@ -160,14 +161,14 @@
         self._update_write_blocked()
 
     def _write_now(self) -> bool:
-        """Write what the socket takes; return whether that was all."""
+        """Write what the socket accepts; return whether nothing is left to write."""
         assert self._socket
         try:
             while self._unwritten:
                 del self._unwritten[: self._socket.send(self._unwritten)]
         except BlockingIOError:
             return False
-        except OSError:  # the reading task finds and reports what broke
+        except OSError:  # the reading task reports the error
             self._unwritten.clear()
         return True
 
@@ -197,7 +198,7 @@
             self._close()
 
     def _close(self) -> None:
-        """Close at once: guards the rule of one attempt at a time against a task that runs late."""
+        """Close the socket at once, so that a delayed task cannot leave a session with two connections."""
         if self._socket:
             trio.lowlevel.notify_closing(self._socket)
             self._socket.close()
--- a/walkloom/client/reconnects.py
+++ b/walkloom/client/reconnects.py
@@ -1,7 +1,7 @@
-"""Reconnects: what follows when an established session loses its connection, up to its next request. No I/O.
+"""Reconnects, from the loss of an established connection to the next request of its session. No I/O.
 
-A session joins the pacer once its backoff is over; a reconnect whose request failed is a retry and needs the
-retry budget. The end of a session is here too, because it has to leave the pacer and the budget.
+A session joins the pacer at the end of its backoff. A reconnect after a failed request is a retry and needs
+the retry budget. Sessions are also ended here, because that removes them from the pacer and the budget.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
         )
 
     def connection_lost(self, session: Session, now: float, reason: str) -> None:
-        """Reconnect the session, or end it if it is not to reconnect."""
+        """Start the reconnect of a session that lost its connection, or end it if it must not reconnect."""
         counters = self._context.counters
         if reason == MIGRATED:
             counters.migrated += 1
@@ -53,30 +53,30 @@
         self.back_off(session, now)
 
     def back_off(self, session: Session, until: float) -> None:
-        """Let the session wait until that time before it may reconnect."""
+        """Let the session back off until that time."""
         session.state = SessionState.BACKING_OFF
         session.not_before = until
         self._context.timers.schedule(session, until)
         self._context.notify(session)
 
     def request_failed(self, session: Session, now: float) -> None:
-        """Back off after the request of a reconnect failed."""
+        """Back off after a failed request of a reconnect."""
         session.failed_reconnects += 1
         self.back_off(session, now + self._context.random.random() * self._backoff_ceiling_ms(session))
 
     def may_retry(self, session: Session, now: float) -> bool:
-        """Whether there is time for the session to reconnect."""
+        """Whether the session still has time to reconnect."""
         return now - session.reconnecting_since < self._context.limits.return_for_ms
 
     def timer_fired(self, session: Session, now: float) -> None:
-        """End the session's backoff: it joins the pacer, waits for the retry budget, or ends."""
+        """Handle the end of a backoff: the session joins the pacer, waits for the retry budget, or ends."""
         limits = self._context.limits
         deadline = session.reconnecting_since + limits.return_for_ms
         if now >= deadline:
             self._context.counters.lost += 1
             self.end(session, now, Failed(f"could not reconnect within {limits.return_for_ms:.0f} ms"))
             return
-        # a request that made attempts and failed makes the next one a retry, on the client's budget
+        # after a failed request that made attempts, the next request is a retry and needs the retry budget
         is_retry = bool(session.failed_reconnects and session.attempts)
         if is_retry and not self._context.retry_budget.try_reserve(now):
             self._context.counters.budget_exhausted += 1
@@ -88,15 +88,15 @@
         self._context.timers.schedule(session, deadline)
 
     def release(self, now: float, admits: Callable[[str], bool]) -> Session | None:
-        """Return the next session whose turn it is to reconnect; None if there is none now."""
+        """Return the next session that may reconnect now; None if there is none."""
         return self._pacer.release(now, admits)
 
     def next_release_at(self, admitted_at: Callable[[str], float]) -> float:
-        """When to call `release` again, as `ReconnectPacer.next_release_at`."""
+        """Return when to call `release` again; see `ReconnectPacer.next_release_at`."""
         return self._pacer.next_release_at(admitted_at)
 
     def end(self, session: Session, now: float, error: ClientError | None) -> None:
-        """End the session for good; error: None if the server ended it regularly."""
+        """Close the session; error: None if the server ended it regularly."""
         context = self._context
         context.release_reserved_retry(session, now)
         if session.state is SessionState.BACKING_OFF:
--- a/walkloom/client/request_results.py
+++ b/walkloom/client/request_results.py
@@ -1,6 +1,6 @@
-"""The one result of each request: counted, and passed on to the session. No I/O.
+"""Counts the one result of each request, and passes it to the session. No I/O.
 
-Every request ends by exactly one call here, or is abandoned by its caller (`ClientCore.close`).
+Every request ends with exactly one call of this module, or is abandoned by its caller (`ClientCore.close`).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class RequestResults:
-    """Ends requests."""
+    """Ends requests with success, an error or a timeout."""
 
     def __init__(self, context: ClientContext, reconnects: ReconnectScheduler) -> None:
         self._context = context
@@ -33,10 +33,10 @@
     def fail(self, session: Session, now: float, error: ClientError, *, is_final: bool = False) -> None:
         """End the request with an error.
 
-        is_final: the session ends, even if it could reconnect.
+        is_final: end the session even if it could reconnect.
         """
         self._leave_queue(session, now)
-        self._count(error)
+        self._count_error(error)
         logger.debug("request_failed session=%s error=%r", session.name, str(error))
         if session.was_established and not is_final and self._reconnects.may_retry(session, now):
             self._reconnects.request_failed(session, now)
@@ -56,7 +56,7 @@
         session.is_queued = False
         self._context.release_reserved_retry(session, now)
 
-    def _count(self, error: ClientError) -> None:
+    def _count_error(self, error: ClientError) -> None:
         counters = self._context.counters
         match error:
             case Rejected():
--- a/walkloom/client/session.py
+++ b/walkloom/client/session.py
@@ -1,18 +1,18 @@
-"""One session, from its first request to its end: its state, and the lines of its connection. No I/O.
+"""The state of one session, from its first request to its end, and the lines of its connection. No I/O.
 
-    QUEUED       a request waits for an attempt: for its turn, its backoff or its class's admission gate
+    QUEUED       a request waits for an attempt: for its turn, its backoff or the admission gate of its class
     CONNECTING   one attempt is in flight, until `attempt_deadline`
-    ESTABLISHED  the connection stands
-    BACKING_OFF  the connection was migrated or broke, and the session waits to reconnect
-    CLOSED       nothing more happens
+    ESTABLISHED  the session has its connection
+    BACKING_OFF  the connection was migrated or lost, and the session waits to reconnect
+    CLOSED       final
 
     QUEUED      -> CONNECTING | BACKING_OFF | CLOSED
     CONNECTING  -> ESTABLISHED | QUEUED | BACKING_OFF | CLOSED
     ESTABLISHED -> BACKING_OFF | CLOSED
     BACKING_OFF -> QUEUED | CLOSED
 
-A request is what leads from QUEUED to one result: ESTABLISHED, or an error. The parts of the core decide when
-a session changes its state; this module owns what a session holds. Times are ms of the client's clock.
+A request leads from QUEUED to one result: ESTABLISHED, or an error. The other modules of the core decide
+when a session changes its state; this module holds the data. Times are ms of the client's clock.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
     LineBuffer,
     SessionAttributes,
     is_goodbye,
-    load_report,
     parse_answer,
+    parse_load_report,
 )
 
 MIGRATED = "moved"  # `Interrupted.why` of a migration
 
 
 class SessionState(Enum):
-    """Where a session is between its first request and its end; see the module's page."""
+    """The states of a session; see the module's docstring."""
 
     QUEUED = "queued"
     CONNECTING = "connecting"
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Session:
-    """What the core knows of one session.
+    """The core's state of one session.
 
     Drivers read `state`, `receipt` and `load`, and set `write_blocked`.
     """
@@ -67,7 +67,7 @@
     session_id: int
     policy: ClassPolicy
     attributes: SessionAttributes
-    reconnects: bool  # whether it reconnects by itself
+    reconnects: bool  # whether it reconnects automatically
     state: SessionState = SessionState.QUEUED
     error: ClientError | None = None  # why it is CLOSED; None if the server ended it regularly
 
@@ -77,40 +77,40 @@
     attempts: int = 0
     attempted_balancers: tuple[Balancer, ...] = ()
     not_before: float = 0.0  # end of its backoff
-    is_queued: bool = False  # whether its entry in the class's queue counts
-    has_reserved_retry: bool = False  # a retry of the budget that has not started
+    is_queued: bool = False  # whether its entry in the queue of its class is valid
+    has_reserved_retry: bool = False  # whether it holds a retry of the budget that has not started
 
     # the attempt
-    connection_id: int = 0  # of the newest connection: events of an older one are ignored
+    connection_id: int = 0  # of the newest connection; events of an older one are ignored
     balancer: Balancer | None = None
     attempt_started_at: float = 0.0
     attempt_deadline: float = 0.0
 
     # the reconnect
     was_established: bool = False  # a request of such a session is a reconnect
-    reconnecting_since: float = -math.inf  # infinite: it never lost a connection
+    reconnecting_since: float = -math.inf  # -infinity: it never lost a connection
     failed_reconnects: int = 0  # requests of this reconnect that failed
 
     # the connection
     line_buffer: LineBuffer = field(default_factory=LineBuffer)
     receipt: str = ""
-    load: float | None = None  # newest report of the server
+    load: float | None = None  # latest load report of the server
     goodbye_received: bool = False
-    write_blocked: bool = False  # the driver holds as many unwritten bytes as it may
+    write_blocked: bool = False  # the driver holds `Limits.bytes_out` unwritten bytes
     inbox: deque[str | Interrupted] = field(default_factory=deque)
-    unanswered: deque[UnansweredLine] = field(default_factory=deque)  # the oldest first
+    unanswered: deque[UnansweredLine] = field(default_factory=deque)  # oldest first
 
-    # its one timer
+    # the timer
     timer_id: int = 0
     timer_due_at: float = math.inf
 
     @property
     def name(self) -> str:
-        """The session in log events."""
+        """The name of the session in log events."""
         return f"{self.attributes.request_class}/{self.session_id}"
 
     def begin_request(self, now: float, deadline: float) -> None:
-        """Begin the first request, or that of a reconnect."""
+        """Begin the first request, or the request of a reconnect."""
         self.state = SessionState.QUEUED
         self.request_started_at = now
         self.request_deadline = deadline
@@ -132,9 +132,9 @@
         self.write_blocked = False
 
     def receive_answer(self, data: bytes, now: float) -> Answer | None:
-        """Take bytes while an attempt is in flight; return None while the answer is incomplete.
+        """Process bytes received during an attempt; return None while the answer is incomplete.
 
-        Raises ProtocolError as `LineBuffer.feed`.
+        Raises ProtocolError like `LineBuffer.feed`.
         """
         lines = self.line_buffer.feed(data)
         if not lines:
@@ -149,9 +149,9 @@
         return answer
 
     def receive_lines(self, lines: list[str], now: float) -> list[float]:
-        """Take lines of an established connection; return the delays of those that were answers, in ms.
+        """Process lines of an established connection; return the delays of the answers among them, in ms.
 
-        A migration ends the connection whatever comes after it: then the state is BACKING_OFF.
+        A migration sets the state to BACKING_OFF; lines after it are ignored.
         """
         delays_ms = []
         for line in lines:
@@ -161,7 +161,7 @@
             self.goodbye_received = is_goodbye(line)
             if self.goodbye_received:
                 continue
-            report = load_report(line)
+            report = parse_load_report(line)
             if report is not None:
                 self._record_load(report)
                 continue
@@ -179,9 +179,9 @@
             self.load = load
 
     def interrupt(self, reason: str, *, is_final: bool) -> None:
-        """Hand the unanswered lines back to the caller.
+        """Report the unanswered lines to the caller by an Interrupted in the inbox.
 
-        A connection that owed no answer and reconnects is not worth an exception.
+        Nothing is reported if no line is unanswered and the session reconnects.
         """
         if self.unanswered or is_final:
             lines = tuple(unanswered.line for unanswered in self.unanswered)
@@ -189,5 +189,5 @@
             self.unanswered.clear()
 
     def oldest_unanswered_at(self) -> float:
-        """When the oldest unanswered line was sent; infinite if there is none."""
+        """Return when the oldest unanswered line was sent; infinite if there is none."""
         return self.unanswered[0].sent_at if self.unanswered else math.inf
--- a/walkloom/client/wire.py
+++ b/walkloom/client/wire.py
@@ -1,6 +1,6 @@
-"""The line protocol as a client speaks it: the opening line, its answer, and lines cut from bytes.
+"""The client side of the line protocol: the opening line, its answer, and the lines of a byte stream.
 
-Only this module knows the keys of the opening line; the field beside each key is what the library calls it.
+The keys of the opening line appear only in this module; SessionAttributes has the field for each key.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 
 from walkloom.client.errors import InvalidArgumentError, ProtocolError
 
-MAX_LINE_BYTES = 4096  # of one line, its CRLF included
-READ_CHUNK_BYTES = 16_384  # most bytes that a driver hands over at once
-MAX_QUOTED_CHARACTERS = 80  # of a malformed answer, in an error message
-MIGRATE_LINE = "MOVE"  # the server asks the session to reconnect elsewhere
+MAX_LINE_BYTES = 4096  # of one line, including CRLF
+READ_CHUNK_BYTES = 16_384  # largest read of a driver
+MAX_QUOTED_CHARACTERS = 80  # of a malformed answer, quoted in an error message
+MIGRATE_LINE = "MOVE"  # the server asks the session to reconnect to another endpoint
 _BUSY = re.compile(r"BUSY(?: ([0-9]{1,9}))?")
 _GOODBYE = "BYE"
 _LOAD_PREFIX = "LOAD "
@@ -21,13 +21,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionAttributes:
-    """What every opening line of one session says, whatever the attempt."""
+    """The fields of the opening line that are the same for all attempts of a session."""
 
-    request_class: str  # c=
-    tenant: str  # t=, left out if empty
-    client_key: int  # the line's second id: 64 bits, 0 for none
-    affinity_group: int  # g=: 64 bits, 0 for none
-    expected_load: float | None  # h=: a guess at the connection's load, in ms of work a second
+    request_class: str  # key c=
+    tenant: str  # key t=, omitted if empty
+    client_key: int  # the second id of the line: 64 bits, 0 for none
+    affinity_group: int  # key g=: 64 bits, 0 for none
+    expected_load: float | None  # key h=: expected load of the connection, in ms of work per second
 
 
 def encode_opening_line(
@@ -35,7 +35,7 @@
 ) -> bytes:
     """Encode the first line of a connection.
 
-    request_id: 64 bits, new for every connection. timeout_ms: how long the client waits for the answer.
+    request_id: 64 bits, new for every connection. timeout_ms: time that the client waits for the answer.
     """
     fields = [f"c={attributes.request_class}"]
     if attributes.tenant:
@@ -63,12 +63,12 @@
 class BusyAnswer:
     """`BUSY`: the request is rejected."""
 
-    retry_after_ms: float | None  # None if the balancer named no time
+    retry_after_ms: float | None  # None if the balancer gave no time
 
 
 @dataclass(frozen=True, slots=True)
 class MalformedAnswer:
-    """Any other line: an error of the balancer, or a peer that is none."""
+    """Any other line: an error of the balancer, or a peer that is not a balancer."""
 
     line: str
 
@@ -86,20 +86,17 @@
 
 
 def is_goodbye(line: str) -> bool:
-    """Whether the server announces the regular end of the session."""
+    """Whether the line announces the regular end of the session."""
     return line == _GOODBYE or line.startswith(_GOODBYE + " ")
 
 
-def load_report(line: str) -> str | None:
-    """The text of a load report; None if the line is something else."""
+def parse_load_report(line: str) -> str | None:
+    """Return the text of a load report; None if the line is not a load report."""
     return line.removeprefix(_LOAD_PREFIX) if line.startswith(_LOAD_PREFIX) else None
 
 
 class LineBuffer:
-    """Cuts lines from bytes.
-
-    Keeps at most one incomplete line of MAX_LINE_BYTES.
-    """
+    """Splits a byte stream into lines; keeps at most one incomplete line of MAX_LINE_BYTES."""
 
     __slots__ = ("_incomplete",)
 
@@ -107,7 +104,7 @@
         self._incomplete = b""
 
     def feed(self, data: bytes) -> list[str]:
-        """Return the lines that are complete now, without their line ends.
+        """Add bytes; return the lines that are now complete, without their line ends.
 
         Raises ProtocolError for a line that is too long or not text.
         """
@@ -120,20 +117,20 @@
             decoded = [line.removesuffix(b"\r").decode() for line in lines]
         except UnicodeDecodeError as error:
             raise ProtocolError("the balancer sent a line that is not text") from error
-        if any("\0" in line for line in decoded):  # guards callers against binary data that decodes by chance
+        if any("\0" in line for line in decoded):  # binary data may happen to be valid UTF-8
             raise ProtocolError("the balancer sent a line that is not text")
         return decoded
 
 
 def encode_line(line: str) -> bytes:
-    """Encode a caller's line.
+    """Encode a line of the caller.
 
-    Raises InvalidArgumentError if it holds a line end or NUL, or is too long.
+    Raises InvalidArgumentError if it contains a line end or NUL, or is too long.
     """
     if "\n" in line or "\r" in line or "\0" in line:
-        raise InvalidArgumentError("line", line, "a line holds no line end and no NUL")
+        raise InvalidArgumentError("line", line, "a line must not contain a line end or NUL")
     data = line.encode() + b"\r\n"
     if len(data) > MAX_LINE_BYTES:
-        message = f"a line of {len(data)} bytes; {MAX_LINE_BYTES} are allowed with its end"
+        message = f"line of {len(data)} bytes exceeds the limit of {MAX_LINE_BYTES} bytes, line end included"
         raise InvalidArgumentError("line", line, message)
     return data
--- a/walkloom/lab/load/json_file.py
+++ b/walkloom/lab/load/json_file.py
@@ -77,4 +77,4 @@
 
 
 def _encode_times(times: Histogram) -> dict[str, float]:
-    return {f"p{percentile:g}": times.at(percentile) for percentile in PERCENTILES}
+    return {f"p{percentile:g}": times.value_at(percentile) for percentile in PERCENTILES}
--- a/walkloom/lab/load/report.py
+++ b/walkloom/lab/load/report.py
@@ -53,7 +53,7 @@
 
     def distrust_reason(self) -> str:
         """Return why the figures say little of the balancer; empty where they can be trusted."""
-        lateness_ms = self.lateness.at(99.0)
+        lateness_ms = self.lateness.value_at(99.0)
         if lateness_ms > MAX_LATENESS_P99_MS:
             return f"the tool began one arrival in a hundred over {lateness_ms:.0f} ms late"
         if self.cpu_share > MAX_CPU_SHARE:
@@ -78,5 +78,5 @@
 
 
 def _times_row(name: str, times: Histogram) -> tuple[str, str]:
-    figures = " ".join(f"{times.at(percentile):.1f}" for percentile in PRINTED_PERCENTILES)
+    figures = " ".join(f"{times.value_at(percentile):.1f}" for percentile in PRINTED_PERCENTILES)
     return f"{name}, ms (p50 p90 p99 most)", figures
