--- a/tests/discovery/test_address_book.py
+++ b/tests/discovery/test_address_book.py
@@ -1,4 +1,4 @@
-"""Which addresses are known after each kind of update."""
+"""The addresses in the book after each kind of endpoint list update."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return address_book
 
 
-def test_an_endpoint_that_no_list_named_has_no_address() -> None:
+def test_an_endpoint_that_is_on_no_list_has_no_address() -> None:
     assert AddressBook().lookup("a") is None
 
 
@@ -34,7 +34,7 @@
     assert address_book.lookup("a") is None
 
 
-def test_an_incremental_update_changes_only_what_it_names() -> None:
+def test_an_incremental_update_changes_only_the_endpoints_that_it_lists() -> None:
     address_book = book_with_a_and_b()
     update = EndpointListUpdate(UpdateKind.INCREMENTAL, (Endpoint("b"),))
     address_book.apply(update, {"b": ADDRESS_MOVED})
@@ -42,7 +42,7 @@
     assert address_book.lookup("b") == ADDRESS_MOVED
 
 
-def test_an_incremental_update_forgets_a_removed_endpoint() -> None:
+def test_an_incremental_update_deletes_the_address_of_a_removed_endpoint() -> None:
     address_book = book_with_a_and_b()
     removed = Endpoint("a", lifecycle=Lifecycle.REMOVED)
     address_book.apply(EndpointListUpdate(UpdateKind.INCREMENTAL, (removed,)), {})
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("kind", [UpdateKind.SNAPSHOT, UpdateKind.CACHED])
-def test_a_whole_list_replaces_the_one_before(kind: UpdateKind) -> None:
+def test_a_complete_list_replaces_the_previous_one(kind: UpdateKind) -> None:
     address_book = book_with_a_and_b()
     address_book.apply(EndpointListUpdate(kind, (Endpoint("b"),)), {"b": ADDRESS_MOVED})
     assert address_book.lookup("a") is None
--- a/tests/discovery/test_call.py
+++ b/tests/discovery/test_call.py
@@ -1,10 +1,10 @@
-"""What a failed call tells of discovery."""
+"""What a failed call shows about the state of discovery."""
 
 from __future__ import annotations
 
 import pytest
 
-from walkloom.discovery.call import Call, EndedCall
+from walkloom.discovery.call import Call, FailedCall
 from walkloom.discovery.errors import (
     CallStalledError,
     ConnectRefusedError,
@@ -38,24 +38,27 @@
 def test_only_a_prompt_refusal_shows_that_discovery_is_down(
     error: Exception, duration_s: float, failure: ListFailure
 ) -> None:
-    assert EndedCall(error, duration_s, continues_watch=False).failure is failure
+    assert FailedCall(error, duration_s, continues_watch=False).failure is failure
 
 
-def test_a_silent_agent_of_a_pushed_list_is_down_but_not_a_watch_that_fell_silent() -> None:
+def test_a_silent_agent_of_a_pushed_list_counts_as_down_but_not_if_a_watch_fell_silent() -> None:
     stalled = CallStalledError()
     assert (
-        EndedCall(stalled, 0.25, continues_watch=False, calls_agent=True).failure is ListFailure.UNREACHABLE
+        FailedCall(stalled, 0.25, continues_watch=False, is_agent_call=True).failure
+        is ListFailure.UNREACHABLE
+    )
+    assert (
+        FailedCall(stalled, 3.8, continues_watch=True, is_agent_call=True).failure is ListFailure.UNANSWERED
     )
-    assert EndedCall(stalled, 3.8, continues_watch=True, calls_agent=True).failure is ListFailure.UNANSWERED
 
 
 def test_a_watch_counts_as_open_until_discovery_itself_ends_it() -> None:
-    assert EndedCall(ResponseIncompleteError(0), LATE_S, continues_watch=True).ended_watch
-    assert not EndedCall(ResponseIncompleteError(0), LATE_S, continues_watch=False).ended_watch
-    assert not EndedCall(CallStalledError(), LATE_S, continues_watch=True).ended_watch
+    assert FailedCall(ResponseIncompleteError(0), LATE_S, continues_watch=True).ended_watch
+    assert not FailedCall(ResponseIncompleteError(0), LATE_S, continues_watch=False).ended_watch
+    assert not FailedCall(CallStalledError(), LATE_S, continues_watch=True).ended_watch
 
 
-def test_what_a_first_call_took_beyond_its_hold_shows_discoverys_queue() -> None:
+def test_the_time_that_a_first_call_takes_beyond_its_hold_is_its_queue_time() -> None:
     assert Call(10.0, hold_ms=500.0, continues_watch=False).queue_ms(10.75) == 250.0
     assert Call(10.0, hold_ms=500.0, continues_watch=False).queue_ms(10.25) == 0.0
     assert Call(10.0, hold_ms=500.0, continues_watch=True).queue_ms(10.75) == 0.0
--- a/tests/discovery/test_codec.py
+++ b/tests/discovery/test_codec.py
@@ -1,4 +1,4 @@
-"""Bodies of discovery's responses, and the endpoint list updates that they become."""
+"""Bodies of discovery's responses, and the endpoint list updates decoded from them."""
 
 from __future__ import annotations
 
@@ -47,13 +47,13 @@
     assert response.addresses == {"a": ("10.0.0.1", 80)}
 
 
-def test_optional_keys_have_defaults_and_unknown_names_count_as_one_more() -> None:
+def test_optional_keys_have_defaults_and_unknown_names_get_the_next_index() -> None:
     (endpoint,) = decode(body(MINIMAL_ENTRY), NAMES).update.endpoints
     assert endpoint == Endpoint(id="a", zone=2, machine_type=1)
 
 
 @pytest.mark.parametrize(("reset", "kind"), [(True, UpdateKind.SNAPSHOT), (False, UpdateKind.INCREMENTAL)])
-def test_reset_tells_a_snapshot_from_an_incremental_update(reset: bool, kind: UpdateKind) -> None:
+def test_reset_distinguishes_a_snapshot_from_an_incremental_update(reset: bool, kind: UpdateKind) -> None:
     assert decode(body(MINIMAL_ENTRY, reset=reset), NAMES).update.kind is kind
 
 
@@ -63,7 +63,7 @@
     assert response.addresses == {}
 
 
-def test_invalid_entries_are_left_out_and_logged_together(caplog: pytest.LogCaptureFixture) -> None:
+def test_invalid_entries_are_skipped_and_logged_in_one_line(caplog: pytest.LogCaptureFixture) -> None:
     with caplog.at_level(logging.WARNING, "walkloom"):
         response = decode(body({"instanceId": "b"}, MINIMAL_ENTRY, "x"), NAMES)
     assert [endpoint.id for endpoint in response.update.endpoints] == ["a"]
@@ -73,23 +73,25 @@
 
 @pytest.mark.parametrize("figure", ["inf", "-inf", "nan", "-1", -1, 1e300, "1e999"])
 @pytest.mark.parametrize("key", ["cell", "weight", "startedAtMs"])
-def test_a_figure_that_no_endpoint_has_leaves_its_entry_out_alone(key: str, figure: object) -> None:
-    bad = {**MINIMAL_ENTRY, "instanceId": "b", key: figure}
-    assert [endpoint.id for endpoint in decode(body(bad, MINIMAL_ENTRY), NAMES).update.endpoints] == ["a"]
+def test_an_invalid_number_skips_only_its_entry(key: str, figure: object) -> None:
+    invalid_entry = {**MINIMAL_ENTRY, "instanceId": "b", key: figure}
+    assert [
+        endpoint.id for endpoint in decode(body(invalid_entry, MINIMAL_ENTRY), NAMES).update.endpoints
+    ] == ["a"]
 
 
 @pytest.mark.parametrize("generation", ["inf", "nan", -1, None, [], 10**400])
-def test_a_generation_that_is_no_number_makes_the_list_malformed(generation: object) -> None:
+def test_a_generation_that_is_not_a_valid_number_makes_the_list_malformed(generation: object) -> None:
     text = json.dumps({"generation": generation, "reset": True, "instances": []})
     with pytest.raises(MalformedEndpointListError):
         decode(text.encode(), NAMES)
 
 
-def test_an_empty_list_is_a_list() -> None:
+def test_an_empty_list_is_valid() -> None:
     assert decode(body(), NAMES).update == EndpointListUpdate(UpdateKind.SNAPSHOT)
 
 
-def test_a_malformed_list_names_its_problem() -> None:
+def test_a_malformed_list_raises_an_error_that_names_the_problem() -> None:
     with pytest.raises(MalformedEndpointListError) as caught:
         decode(b'{"reset":true,"instances":[]}', NAMES)
     assert isinstance(caught.value, DiscoveryError)
--- a/tests/discovery/test_http_connection.py
+++ b/tests/discovery/test_http_connection.py
@@ -1,4 +1,4 @@
-"""Calls over one connection to discovery, and what a wrong response raises."""
+"""Calls over one connection to discovery, and the errors that invalid responses raise."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 
 
 def with_discovery(use: Callable[[DiscoveryConnection, trio.SocketStream], Awaitable[None]]) -> None:
-    """Run `use` with a connection and the stream of the discovery at its other end."""
+    """Run `use` with a connection and the stream at discovery's end of it."""
 
     async def main() -> None:
-        ours, theirs = trio.socket.socketpair()
-        connection = DiscoveryConnection(trio.SocketStream(ours), ("discovery", 8500))
+        client_socket, discovery_socket = trio.socket.socketpair()
+        connection = DiscoveryConnection(trio.SocketStream(client_socket), ("discovery", 8500))
         try:
-            await use(connection, trio.SocketStream(theirs))
+            await use(connection, trio.SocketStream(discovery_socket))
         finally:
             await connection.close()
-            theirs.close()
+            discovery_socket.close()
 
     trio.run(main)
 
 
-def test_a_call_names_the_generation_and_how_long_it_may_be_held() -> None:
+def test_a_call_sends_the_generation_and_its_hold_time() -> None:
     async def use(connection: DiscoveryConnection, discovery: trio.SocketStream) -> None:
         await discovery.send_all(OK_HEAD % 2 + b"[]")
         assert (await connection.fetch(7, 2000.0)).body == b"[]"
@@ -48,7 +48,7 @@
     with_discovery(use)
 
 
-def test_a_call_for_the_whole_list_has_no_query_and_the_connection_is_used_again() -> None:
+def test_a_call_for_the_complete_list_has_no_query_and_the_connection_is_reused() -> None:
     async def use(connection: DiscoveryConnection, discovery: trio.SocketStream) -> None:
         for body in (b"[1]", b"[2]"):
             assert connection.is_reusable
@@ -60,7 +60,7 @@
     with_discovery(use)
 
 
-def test_a_response_that_closes_the_connection_leaves_it_unusable() -> None:
+def test_a_connection_is_not_reusable_after_a_response_that_closes_it() -> None:
     async def use(connection: DiscoveryConnection, discovery: trio.SocketStream) -> None:
         await discovery.send_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\n[]")
         assert (await connection.fetch(None, 2000.0)).body == b"[]"
@@ -70,7 +70,7 @@
     with_discovery(use)
 
 
-def test_another_status_is_an_error_that_carries_it() -> None:
+def test_a_status_other_than_200_is_an_error_with_that_status() -> None:
     async def use(connection: DiscoveryConnection, discovery: trio.SocketStream) -> None:
         await discovery.send_all(b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n")
         with pytest.raises(ResponseStatusError, match="status 503") as caught:
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("response", [b"", OK_HEAD % 9 + b"[1,"])
-def test_a_response_that_is_cut_off_is_a_protocol_error(response: bytes) -> None:
+def test_an_incomplete_response_is_a_protocol_error(response: bytes) -> None:
     async def use(connection: DiscoveryConnection, discovery: trio.SocketStream) -> None:
         await discovery.send_all(response)
         await discovery.send_eof()
@@ -91,7 +91,7 @@
     with_discovery(use)
 
 
-def test_a_body_over_the_limit_is_an_error() -> None:
+def test_a_body_that_exceeds_the_limit_is_an_error() -> None:
     async def use(connection: DiscoveryConnection, discovery: trio.SocketStream) -> None:
         async def send() -> None:
             with suppress(trio.BrokenResourceError):
@@ -117,8 +117,8 @@
     with_discovery(use)
 
 
-def test_a_port_on_which_nobody_listens_is_a_refusal() -> None:
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        address = free.getsockname()
+def test_a_port_without_a_listener_refuses_the_connection() -> None:
+    with socket.create_server(("127.0.0.1", 0)) as unused:
+        address = unused.getsockname()
     with pytest.raises(ConnectRefusedError):
         trio.run(DiscoveryConnection.open, address)
--- a/tests/test_rare.py
+++ b/tests/test_rare.py
@@ -644,7 +644,9 @@
             watcher.load_cached(swapped)
 
         async def end_idle_time(_arguments: str) -> None:
-            scenario.BeforeStep("LoadReportPoller._stand", lambda: poller._open["a"].send_nowait(None))
+            scenario.BeforeStep(
+                "LoadReportPoller._poll_repeatedly", lambda: poller._poll_channels["a"].send_nowait(None)
+            )
 
         world.verbs["poll"] = poll
         world.verbs["reported"] = expect_report
--- a/walkloom/discovery/__init__.py
+++ b/walkloom/discovery/__init__.py
@@ -2,10 +2,10 @@
 
 Layers, from the top:
 
-- `watcher` watches discovery and hands each list to the engine.
+- `watcher` watches discovery and passes each list to the engine.
 - `http_connection` makes the long-poll calls over HTTP.
-- `call` says what the end of a call tells of discovery; `call_log` counts and logs calls.
+- `call` classifies the end of a call: queue time, kind of failure; `call_log` counts and logs calls.
 - `codec` turns the body of a response into an endpoint list update and addresses.
 - `address_book` holds the address of each endpoint.
-- `errors` lists what can go wrong with a call.
+- `errors` defines the errors of a call.
 """
--- a/walkloom/discovery/address_book.py
+++ b/walkloom/discovery/address_book.py
@@ -1,4 +1,4 @@
-"""Addresses of the endpoints on the list that is in force."""
+"""Addresses of the endpoints on the current endpoint list."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 
 class AddressBook:
-    """Where each endpoint accepts connections."""
+    """The address at which each endpoint accepts connections."""
 
     def __init__(self) -> None:
         self._addresses: dict[EndpointId, SocketAddress] = {}
 
     def lookup(self, endpoint_id: EndpointId) -> SocketAddress | None:
-        """Return an endpoint's address; None if the list does not name the endpoint."""
+        """Return an endpoint's address; None if the endpoint is not on the list."""
         return self._addresses.get(endpoint_id)
 
     def apply(self, update: EndpointListUpdate, addresses: dict[EndpointId, SocketAddress]) -> None:
-        """Take over an update: an incremental one merges, all others replace what was there."""
+        """Apply an update: an incremental update is merged, any other replaces all addresses."""
         if update.kind is UpdateKind.INCREMENTAL:
             self._merge(update, addresses)
         else:
             self._addresses = dict(addresses)
 
     def _merge(self, update: EndpointListUpdate, addresses: dict[EndpointId, SocketAddress]) -> None:
-        # Of several entries of one endpoint the last holds.
+        # If an endpoint has several entries, the last one applies.
         lifecycles = {endpoint.id: endpoint.lifecycle for endpoint in update.endpoints}
         self._addresses |= addresses
         for endpoint_id, lifecycle in lifecycles.items():
--- a/walkloom/discovery/call.py
+++ b/walkloom/discovery/call.py
@@ -1,6 +1,6 @@
-"""One call to discovery, and what its end tells: a queue, an outage, until when it was watched. No I/O.
+"""One call to discovery, and what its end shows: queue time, an outage, the end of a watch. No I/O.
 
-Times are seconds of trio's clock.
+Times are in seconds of trio's clock.
 """
 
 from __future__ import annotations
@@ -16,69 +16,72 @@
 )
 from walkloom.messages import ListFailure
 
-# A discovery that is down refuses within this time. One that refuses later had the call in its queue.
-MAX_REFUSAL_S = 0.25
+# If discovery is down, it refuses a call within this time. A later refusal means that the call was queued.
+MAX_REFUSAL_DELAY_S = 0.25
 
 
-# A watch goes on where the next call comes so soon after the answer before; the platform allows 0.2 s.
+# A watch continues if the next call begins within this time after the previous response; the platform allows
+# 0.2 s.
 MAX_WATCH_GAP_S = 0.15
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A call that is out."""
+    """A call in progress."""
 
     started_at: float
 
-    # How long discovery may hold it; 0: it is answered at once.
+    # How long discovery may hold the call; 0: it responds at once.
     hold_ms: float
 
-    # The answer before came right before, so that this call goes on with a watch.
+    # Whether this call began right after the previous response, so that the watch continues without a gap.
     continues_watch: bool
 
     def queue_ms(self, answered_at: float) -> float:
-        """Return how long the call waited in discovery's queue; 0 where that is not known."""
-        beyond_hold_ms = (answered_at - self.started_at) * 1000.0 - self.hold_ms
-        return 0.0 if self.continues_watch else max(beyond_hold_ms, 0.0)
+        """Return how long the call waited in discovery's queue, ms; 0 if that is unknown."""
+        excess_ms = (answered_at - self.started_at) * 1000.0 - self.hold_ms
+        return 0.0 if self.continues_watch else max(excess_ms, 0.0)
 
-    def ended(self, error: Exception, now: float, *, calls_agent: bool = False) -> EndedCall:
-        """Return the call as one that brought no list; calls_agent: to the agent of a pushed list."""
-        return EndedCall(error, now - self.started_at, self.continues_watch, calls_agent)
+    def to_failed_call(self, error: Exception, now: float, *, is_agent_call: bool = False) -> FailedCall:
+        """Return this call as a failed one; is_agent_call: it went to the agent of a pushed list."""
+        return FailedCall(error, now - self.started_at, self.continues_watch, is_agent_call)
 
 
 @dataclass(frozen=True, slots=True)
-class EndedCall:
-    """A call that brought no list."""
+class FailedCall:
+    """A call that returned no list."""
 
     error: Exception
     duration_s: float
 
-    # As in Call.
+    # Whether the call continued a watch, as in Call.
     continues_watch: bool
 
-    # It went to the agent of a pushed list, which is silent while it learns nothing.
-    calls_agent: bool = False
+    # Whether the call went to the agent of a pushed list, which is silent while it receives no list itself.
+    is_agent_call: bool = False
 
     @property
     def failure(self) -> ListFailure:
-        """Whether discovery is down or overloaded, as far as the call shows."""
+        """Whether discovery appears to be down or overloaded, as far as this call shows."""
         if isinstance(self.error, ConnectRefusedError):
             return ListFailure.UNREACHABLE
-        if isinstance(self.error, CallStalledError) and self.calls_agent and not self.continues_watch:
+        if isinstance(self.error, CallStalledError) and self.is_agent_call and not self.continues_watch:
             return ListFailure.UNREACHABLE
-        if self._is_refusal and self.duration_s <= MAX_REFUSAL_S:
+        if self._is_refusal and self.duration_s <= MAX_REFUSAL_DELAY_S:
             return ListFailure.UNREACHABLE
         return ListFailure.OVERLOADED if self._is_server_error else ListFailure.UNANSWERED
 
     @property
     def ended_watch(self) -> bool:
-        """Whether discovery itself ended a watch that was open until now."""
+        """Whether discovery ended a watch that was open until now."""
         return self.continues_watch and self._is_refusal
 
     @property
     def _is_refusal(self) -> bool:
-        is_silent_end = isinstance(self.error, ResponseIncompleteError) and not self.error.received_bytes
-        return is_silent_end or self._is_server_error
+        is_closed_without_response = (
+            isinstance(self.error, ResponseIncompleteError) and not self.error.received_bytes
+        )
+        return is_closed_without_response or self._is_server_error
 
     @property
     def _is_server_error(self) -> bool:
--- a/walkloom/discovery/errors.py
+++ b/walkloom/discovery/errors.py
@@ -4,24 +4,24 @@
 ├── MalformedEndpointListError    the response is not an endpoint list
 ├── ConnectTimeoutError           discovery does not accept a connection
 ├── ConnectRefusedError           nothing listens at discovery's address
-├── ResponseStatusError           the response has another status than 200
+├── ResponseStatusError           the status of the response is not 200
 ├── ResponseTooLargeError         the body exceeds the limit
 ├── ResponseIncompleteError       the connection ended or broke before the response was complete
-├── CallStalledError              no response came in the time that a call may take
-└── UnsolicitedResponseError      bytes followed the response that no call asked for
+├── CallStalledError              no response came within the time limit of a call
+└── UnsolicitedResponseError      further bytes followed the response
 
-Their texts are the `error` of the log event `discovery_failed`.
+Their texts are written to the field `error` of the log event `discovery_failed`.
 """
 
 from __future__ import annotations
 
 
 class DiscoveryError(Exception):
-    """A call to discovery that brought no endpoint list; the text says why."""
+    """A call to discovery that returned no endpoint list; the text is the reason."""
 
 
 class MalformedEndpointListError(DiscoveryError):
-    """A response that is not an endpoint list, or has no entry that can be used."""
+    """A response that is not an endpoint list, or whose entries are all invalid."""
 
     def __init__(self, problem: Exception) -> None:
         super().__init__(f"malformed: {problem!r}")
@@ -32,7 +32,7 @@
     """Discovery did not accept a connection in time."""
 
     def __init__(self, host: str, port: int) -> None:
-        super().__init__("does not accept")
+        super().__init__("connection not accepted in time")
         self.host = host
         self.port = port
 
@@ -47,7 +47,7 @@
 
 
 class ResponseStatusError(DiscoveryError):
-    """Discovery answered with another HTTP status than 200."""
+    """Discovery answered with an HTTP status other than 200."""
 
     def __init__(self, status_code: int) -> None:
         super().__init__(f"status {status_code}")
@@ -58,14 +58,14 @@
     """The body of a response exceeds the limit."""
 
     def __init__(self, received_bytes: int) -> None:
-        super().__init__("too large")
+        super().__init__("response body too large")
         self.received_bytes = received_bytes
 
 
 class ResponseIncompleteError(DiscoveryError):
     """The connection ended or broke before the response was complete.
 
-    received_bytes: what had come of the response, its head included.
+    received_bytes: length of the part that was received, its head included.
     """
 
     def __init__(self, received_bytes: int, reason: str = "closed") -> None:
@@ -74,15 +74,15 @@
 
 
 class CallStalledError(DiscoveryError):
-    """No response came in the time that a call may take."""
+    """No response came within the time limit of a call."""
 
     def __init__(self) -> None:
         super().__init__("stalled")
 
 
 class UnsolicitedResponseError(DiscoveryError):
-    """Bytes followed a response that no call asked for."""
+    """Further bytes followed a response, although no call was in progress."""
 
     def __init__(self, data: bytes) -> None:
-        super().__init__("an answer to no call")
+        super().__init__("unexpected data after the response")
         self.data = data
--- a/walkloom/discovery/http_connection.py
+++ b/walkloom/discovery/http_connection.py
@@ -1,6 +1,6 @@
-"""Client side of discovery's HTTP: long-poll calls over one HTTP/1.1 connection.
+"""HTTP client for discovery: long-poll calls over one HTTP/1.1 connection.
 
-It knows the path and the query of a call, and nothing of what a body holds.
+This module knows the path and the query of a call; the codec knows the content of the body.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 )
 from walkloom.transport.address import SocketAddress
 
-# A discovery that does not accept within this time counts as a failed call, so that the next may come.
+# A connection that discovery does not accept within this time is a failed call, so that the next can begin.
 CONNECT_TIMEOUT_S = 1.0
 
-# Bounds the memory that a response can take.
+# Limits the memory that a response can use.
 MAX_BODY_BYTES = 4 << 20
 
-# Bytes asked of the socket in one read.
+# Maximum size of one read from the socket.
 RECEIVE_BYTES = 65_536
 
 HTTP_OK = 200
@@ -36,19 +36,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedList:
-    """The body of a response, and when it began to come."""
+    """The body of a response, and when its first byte arrived."""
 
     body: bytes
 
-    # Trio's clock; discovery wrote the list then at the latest.
+    # Seconds of trio's clock; discovery wrote the list no later than this.
     first_byte_at: float
 
 
 class DiscoveryConnection:
-    """One connection to discovery, for calls one after another.
+    """One connection to discovery, for consecutive calls.
 
-    Besides DiscoveryError, calls raise what a broken connection or a broken HTTP exchange raises: OSError,
-    trio.BrokenResourceError, h11.ProtocolError.
+    Besides DiscoveryError, calls raise OSError and trio.BrokenResourceError if the connection breaks, and
+    h11.ProtocolError if the response violates HTTP.
     """
 
     def __init__(self, stream: trio.SocketStream, address: SocketAddress) -> None:
@@ -60,8 +60,8 @@
     async def open(cls, address: SocketAddress) -> DiscoveryConnection:
         """Connect to discovery.
 
-        Raises ConnectTimeoutError if it does not accept in CONNECT_TIMEOUT_S, ConnectRefusedError if it
-        refuses, and OSError if this machine cannot connect.
+        Raises ConnectTimeoutError if the connection is not accepted within CONNECT_TIMEOUT_S,
+        ConnectRefusedError if it is refused, and OSError if this machine cannot connect.
         """
         host, port = address
         try:
@@ -81,8 +81,8 @@
     async def fetch(self, generation: int | None, hold_ms: float) -> ReceivedList:
         """Make one call and return its response.
 
-        generation: the version of the list that is held; discovery answers once there is a newer one, or
-        after hold_ms. None: the whole list is wanted at once.
+        generation: the version of the list that the caller has; discovery answers once there is a newer one,
+        or after hold_ms. None: requests the complete list at once.
 
         Raises ResponseStatusError, ResponseTooLargeError or ResponseIncompleteError.
         """
@@ -109,17 +109,17 @@
                 raise ResponseIncompleteError(received_bytes)
 
     async def _receive(self, received_bytes: int) -> bytes:
-        """Read once; raises ResponseIncompleteError where the connection breaks."""
+        """Read once; raises ResponseIncompleteError if the connection breaks."""
         try:
             return bytes(await self._stream.receive_some(RECEIVE_BYTES))
         except trio.BrokenResourceError as error:
             raise ResponseIncompleteError(received_bytes, str(error) or "broken") from error
 
     def finish_call(self) -> None:
-        """Make the connection ready for its next call, if both sides keep it open.
+        """Prepare the connection for its next call, if both sides keep it open.
 
-        Raises UnsolicitedResponseError if bytes followed the response: the next call would take them for its
-        own response.
+        Raises UnsolicitedResponseError if further bytes followed the response: the next call would read them
+        as its own response.
         """
         trailing_data, _ = self._http.trailing_data
         if trailing_data.strip():
@@ -143,7 +143,7 @@
 
 
 def _is_refusal(error: BaseException | None) -> bool:
-    """Whether all addresses that were tried refused; trio groups the errors of several attempts."""
+    """Whether all attempted addresses refused the connection; trio groups the errors of several attempts."""
     if isinstance(error, BaseExceptionGroup):
         return all(_is_refusal(inner) for inner in error.exceptions)
     return isinstance(error, ConnectionRefusedError)
--- a/walkloom/discovery/watcher.py
+++ b/walkloom/discovery/watcher.py
@@ -1,7 +1,7 @@
-"""The watch on discovery: one call at a time, each list handed to the engine.
+"""Watches discovery with one call at a time and passes each endpoint list to the engine.
 
-It owns the generation of the list, the addresses, and the choice of the discovery that is called. Reading a
-body is the codec's work, the HTTP exchange the connection's.
+This module owns the generation of the list, the addresses of the endpoints and the address of discovery. The
+codec decodes bodies; the connection makes the HTTP exchange.
 """
 
 from __future__ import annotations
@@ -27,20 +27,21 @@
 
 log = logging.getLogger("walkloom")
 
-# How long a call may take, of which discovery may hold it for 2 s. What a silent watch misses counts as
-# received 6 s after it fell silent: what is left is for the queue of all balancers that call again.
+# How long a call may take; discovery may hold it for 2 s of this time. A change that a silent watch misses
+# counts as received 6 s after the watch fell silent. The time that this limit leaves until then is for the
+# queue of all balancers that call again.
 CALL_TIMEOUT_S = 3.8
 
-# The most that a pushed list's agent may take for an answer at once.
+# Upper limit of the time in which the agent of a pushed list must answer a call that it may not hold.
 MAX_AGENT_TIMEOUT_S = 1.8
 
-# Least time from one call to the next while discovery answers at once and with no change. The watch goes on
-# without a gap if the next call comes within 0.2 s.
+# Minimum time from one call to the next while discovery answers at once and without changes. The watch
+# continues without a gap if the next call begins within 0.2 s.
 MIN_EMPTY_CALL_INTERVAL_S = 0.1
 
 
 class EndpointWatcher:
-    """Keeps the endpoint list up to date, and knows the addresses of its endpoints."""
+    """Keeps the endpoint list up to date and stores the addresses of its endpoints."""
 
     def __init__(self, engine: Engine, discovery: SocketAddress, names: SettingNames) -> None:
         self._engine = engine
@@ -49,37 +50,37 @@
         self._address_book = AddressBook()
         self._call_log = CallLog(trio.current_time())
 
-        # The newest call, and when the newest answer came (trio's clock).
+        # The latest call, and when the latest response arrived (seconds of trio's clock).
         self._call = Call(-math.inf, 0.0, continues_watch=False)
         self._answered_at = -math.inf
 
-        # The newest answer came at once and brought nothing.
+        # Whether the latest response came at once and had no entries.
         self._was_premature = False
 
-        # Version of the list that is held; None: the whole list is wanted, whatever its version.
+        # Version of the list that this balancer has; None: the next call requests the complete list.
         self._generation: int | None = 0
 
-        # Ends the calls to the present discovery.
-        self._calls = trio.CancelScope()
+        # Cancels the calls to the current discovery.
+        self._call_scope = trio.CancelScope()
 
         # Set by the first list that discovery itself sent.
         self._first_list_received = trio.Event()
 
-        # A pushed list lies with an agent on this machine, which answers at once unless it is silent. All
-        # that the agent has counts as received, so that its answer must come well within the grace after
-        # which a drain binds: within half of it.
+        # An agent on this machine has the pushed list and answers at once unless it is silent. Everything
+        # that the agent has counts as received. Its answer must therefore come well within the drain grace,
+        # after which a drain must be obeyed: within half of it.
         self._list_is_pushed = not engine.settings.polls_endpoint_list
         self._agent_timeout_s = min(engine.settings.drain_grace_ms / 2.0 / 1000.0, MAX_AGENT_TIMEOUT_S)
 
     def address(self, endpoint_id: EndpointId) -> SocketAddress | None:
-        """Return an endpoint's address; None if the list does not name the endpoint."""
+        """Return an endpoint's address; None if the endpoint is not on the list."""
         return self._address_book.lookup(endpoint_id)
 
     def load_cached(self, body: bytes, age_s: float = 0.0) -> None:
-        """Take over the list as this balancer had it last, before any call.
+        """Apply the last list that this balancer had, before any call.
 
-        age_s: how long ago it counts as confirmed, s. A list that cannot be read is logged as
-        `cached_endpoint_list_invalid`; the balancer then starts with none.
+        age_s: time since the list counts as confirmed, s. A list that cannot be decoded is logged as
+        `cached_endpoint_list_invalid`; the balancer then starts without a list.
         """
         try:
             response = decode(body, self._names)
@@ -94,58 +95,59 @@
             self._generation = None
 
     async def wait_until_ready(self) -> None:
-        """Wait until clients may come.
+        """Wait until the balancer may accept clients.
 
-        Where the list is pushed, what the agent has counts as received from the start of the process (rule
-        3), and the cached list may be older. A silent agent is waited for no longer than a call may take.
+        If the list is pushed, everything that the agent has counts as received from the start of the process
+        (rule 3), and the cached list may be older. The wait for a silent agent ends with the time limit of a
+        call to it.
         """
         if self._list_is_pushed:
             with trio.move_on_after(self._agent_timeout_s):
                 await self._first_list_received.wait()
 
     async def run(self) -> None:
-        """Watch whenever the policy asks for it.
+        """Watch discovery whenever the policy requests it.
 
-        A failed watch is reported as an update of kind FAILED; the policy says when to go on.
+        A failed watch is reported as an update of kind FAILED; the policy decides when to resume.
         """
         while True:
             await self._engine.wait_for_watch_request()
             self._call_log.record_retry(trio.current_time())
-            with trio.CancelScope() as self._calls:
+            with trio.CancelScope() as self._call_scope:
                 try:
                     await self._watch()
                 except (DiscoveryError, OSError, trio.BrokenResourceError, h11.ProtocolError) as error:
-                    # A failure of the discovery that was just replaced says nothing of the present one.
-                    if not self._calls.cancel_called:
+                    # A failure of a discovery that was just replaced says nothing about the current one.
+                    if not self._call_scope.cancel_called:
                         self._report_failure(error)
 
     def change_discovery(self, discovery: SocketAddress) -> None:
-        """Call discovery at another address from now on; the call in flight ends.
+        """Call discovery at another address from now on, and cancel the call in progress.
 
-        Address and generation change before the cancellation, and the engine asks for a new watch after it:
-        the run that follows must find all three in place.
+        Address and generation change before the cancellation, and the engine requests a new watch after it:
+        the next iteration of `run` must find all three in place.
         """
         self._discovery = discovery
-        self._generation = None  # versions of one discovery say nothing to another
-        self._calls.cancel()
+        self._generation = None  # another discovery does not know the versions of this one
+        self._call_scope.cancel()
         self._engine.discovery_changed()
 
     def report_calls(self) -> None:
-        """Log the counters of calls since the start."""
+        """Log the counters of the calls since the start of the process."""
         self._call_log.report()
 
     async def _watch(self) -> None:
         """Make calls until one fails or discovery is changed; reconnect at once when a connection ends."""
         has_stalled = False
-        while not self._calls.cancel_called:
-            self._begin_call()
+        while not self._call_scope.cancel_called:
+            self._start_call()
             connection = await DiscoveryConnection.open(self._discovery)
             try:
                 await self._poll(connection)
             except CallStalledError:
-                # A watch that fell silent is opened anew without the pause after a failure: what it misses
-                # counts as received soon (rule 3). A new call that stalls, too, is a failed one, and so is
-                # one that an agent on this machine does not answer.
+                # A silent watch is reopened without the pause after a failure: the changes that it misses
+                # soon count as received (rule 3). If the new call stalls too, it is a failed call, and so
+                # is a call that the agent on this machine does not answer.
                 if not self._call.continues_watch and (has_stalled or self._list_is_pushed):
                     raise
                 has_stalled = True
@@ -159,7 +161,7 @@
         Raises CallStalledError.
         """
         while connection.is_reusable:
-            self._begin_call()
+            self._start_call()
             received = await self._fetch(connection)
             if received is None:
                 return
@@ -168,22 +170,22 @@
             self._call_log.record_answer(
                 self._call.started_at, self._answered_at, response.generation, len(response.update.endpoints)
             )
-            # The list is sound even if bytes follow that are not, so that it comes into force first.
+            # The list is valid even if unexpected bytes follow it, so it is applied before they raise.
             self._apply(response, self._confirmed_update(response, received))
             connection.finish_call()
-            await self._pace_after(response)
+            await self._delay_next_call(response)
 
-    def _begin_call(self) -> None:
-        """Note that a call begins: it goes on with a watch, or wants an answer at once as confirmation."""
+    def _start_call(self) -> None:
+        """Record the start of a call, which continues a watch or requests an immediate confirmation."""
         now = trio.current_time()
         continues_watch = now - self._answered_at <= MAX_WATCH_GAP_S
         hold_ms = self._engine.watch_hold_ms() if continues_watch and self._generation is not None else 0.0
         self._call = Call(now, hold_ms, continues_watch)
 
-    async def _pace_after(self, response: EndpointListResponse) -> None:
-        """Wait where discovery holds no call: it would be called in a busy loop.
+    async def _delay_next_call(self, response: EndpointListResponse) -> None:
+        """Delay the next call if discovery answers without holding calls, which would cause a busy loop.
 
-        Only the second such response in a row delays the next call, also one over another connection.
+        Only the second consecutive response of this kind causes a delay, also across connections.
         """
         elapsed_s = trio.current_time() - self._call.started_at
         is_premature = elapsed_s < MIN_EMPTY_CALL_INTERVAL_S and not response.update.endpoints
@@ -192,14 +194,14 @@
         self._was_premature = is_premature
 
     async def _fetch(self, connection: DiscoveryConnection) -> ReceivedList | None:
-        """Make one call; None if discovery was changed meanwhile. Raises CallStalledError."""
+        """Make one call; return None if discovery was changed meanwhile. Raises CallStalledError."""
         with trio.move_on_after(self._call_timeout_s()) as timeout:
             received = await connection.fetch(self._generation, self._call.hold_ms)
         if timeout.cancelled_caught:
             raise CallStalledError
-        if self._calls.cancel_called:
-            # The response came in the tick in which discovery was changed: it must not overwrite the
-            # generation, nor the list of the discovery that follows.
+        if self._call_scope.cancel_called:
+            # The response came in the tick in which discovery was changed: it must overwrite neither the
+            # generation nor the list of the new discovery.
             return None
         return received
 
@@ -209,47 +211,50 @@
         return self._agent_timeout_s if agent_answers_at_once else CALL_TIMEOUT_S
 
     def _confirmed_update(self, response: EndpointListResponse, received: ReceivedList) -> EndpointListUpdate:
-        """Return the response's update with what the call tells of the list's age and of discovery."""
+        """Return the response's update with the time of its confirmation and the queue time of the call."""
         return response.update._replace(
-            confirmed_at=self._engine_time(received.first_byte_at),
+            confirmed_at=self._to_engine_time(received.first_byte_at),
             call_ms=self._call.queue_ms(received.first_byte_at),
         )
 
-    def _engine_time(self, at: float) -> float:
-        """Return a time of trio's clock as one of the engine's, ms."""
-        return self._engine.now() - (trio.current_time() - at) * 1000.0
+    def _to_engine_time(self, time: float) -> float:
+        """Convert a time of trio's clock, s, to a time of the engine's clock, ms."""
+        return self._engine.now() - (trio.current_time() - time) * 1000.0
 
     def _apply(self, response: EndpointListResponse, update: EndpointListUpdate) -> None:
-        """Bring a list into force."""
+        """Make an endpoint list the current one."""
         self._generation = response.generation
-        # Before the engine: what the policy starts at once on the new list looks up its address here.
+        # Before the engine: attempts that the policy starts at once on the new list look up addresses here.
         self._address_book.apply(update, response.addresses)
         _log_update(update)
         self._engine.endpoint_list_updated(update)
-        # After the engine: whoever waits for the first list may place requests by it.
+        # After the engine: tasks that wait for the first list may place requests with it.
         if update.kind is not UpdateKind.CACHED:
             self._first_list_received.set()
 
     def _report_failure(self, error: Exception) -> None:
-        """Log a failed call and hand the failure to the policy."""
-        ended = self._call.ended(error, trio.current_time(), calls_agent=self._list_is_pushed)
+        """Log a failed call and report the failure to the policy."""
+        failed_call = self._call.to_failed_call(
+            error, trio.current_time(), is_agent_call=self._list_is_pushed
+        )
         self._record_failure(str(error) or repr(error), stalled=isinstance(error, CallStalledError))
         self._engine.endpoint_list_updated(
             EndpointListUpdate(
                 UpdateKind.FAILED,
-                failure=ended.failure,
-                call_ms=ended.duration_s * 1000.0,
-                watched_until=self._engine.now() if ended.ended_watch else None,
+                failure=failed_call.failure,
+                call_ms=failed_call.duration_s * 1000.0,
+                watched_until=self._engine.now() if failed_call.ended_watch else None,
             )
         )
 
     def _record_failure(self, error: str, *, stalled: bool = False) -> None:
-        """Log a failed or stalled call; the last list stays in force."""
+        """Log a failed or stalled call; the last list stays the current one."""
         self._call_log.record_failure(
             self._call.started_at, trio.current_time(), error, self._engine.list_lease_ms(), stalled=stalled
         )
         if self._list_is_pushed:
-            # An agent that speaks again sends the whole list at once, where it might hold a call for changes.
+            # Without a generation, an agent that answers again sends the complete list at once; with one it
+            # might hold the call until a change.
             self._generation = None
 
 
--- a/walkloom/load_reports/__init__.py
+++ b/walkloom/load_reports/__init__.py
@@ -1,9 +1,9 @@
-"""Load reports: polls endpoints for their load when the policy asks for it.
+"""Load reports: polls endpoints for their load when the policy requests it.
 
 Layers, from the top:
 
-- `poller` takes the policy's orders and runs one task for each endpoint that is polled.
+- `poller` receives the policy's requests and runs one task for each endpoint that is polled.
 - `connection` is the connection of one such task.
-- `codec` turns the line of a response into a load report.
-- `errors` lists what can be wrong with a response.
+- `codec` decodes the line of a response to a load report.
+- `errors` defines the errors of a response.
 """
--- a/walkloom/load_reports/errors.py
+++ b/walkloom/load_reports/errors.py
@@ -1,17 +1,17 @@
 """Errors of load reports.
 
 LoadReportError
-├── MalformedLoadReportError    a PONG whose figures are not numbers in the range of a load
+├── MalformedLoadReportError    a PONG with values that are not numbers in the valid range
 └── UnexpectedResponseError     a response that is neither PONG nor ERR
 
-Their texts are the `error` of the log event `load_report_failed`.
+They are written to the field `error` of the log event `load_report_failed`.
 """
 
 from __future__ import annotations
 
 
 class LoadReportError(ValueError):
-    """A response to a poll that is no load report."""
+    """A response to a poll that is not a load report."""
 
     def __init__(self, message: str, line: bytes) -> None:
         super().__init__(message)
@@ -19,7 +19,7 @@
 
 
 class MalformedLoadReportError(LoadReportError):
-    """A PONG whose figures are not numbers in the range of a load."""
+    """A PONG with values that are not numbers in the valid range."""
 
 
 class UnexpectedResponseError(LoadReportError):
