--- a/tests/importers/test_apache.py
+++ b/tests/importers/test_apache.py
@@ -1,4 +1,4 @@
-"""Files of Apache's mod_proxy_balancer, and the servers that they name."""
+"""Files of Apache's mod_proxy_balancer, and the servers imported from them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 """
 
 
-def test_balancer_members() -> None:
+def test_balancer_members_are_imported() -> None:
     imported = parse_balancer_members(APACHE_FILE)
     assert imported.servers == (
         ImportedServer("t1", "10.0.0.1", 8080, 3.0),
@@ -45,7 +45,7 @@
         ("<Proxy balancer://x>\n</Proxy>\nBalancerMember http://h", "line 3: BalancerMember outside"),
     ],
 )
-def test_unreadable_members_are_named(text: str, problem: str) -> None:
+def test_an_unreadable_member_raises_an_error_with_its_line_number(text: str, problem: str) -> None:
     with pytest.raises(UnreadableLineError, match=problem) as caught:
         parse_balancer_members(text)
     assert caught.value.line_number == len(text.splitlines())
--- a/tests/importers/test_command.py
+++ b/tests/importers/test_command.py
@@ -1,4 +1,4 @@
-"""The import command: what it prints, and its exit status."""
+"""The import command: its output and its exit status."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     return str(path)
 
 
-def test_the_printed_list_is_one_that_discovery_reads(
+def test_the_printed_list_can_be_decoded_by_discovery(
     apache_file: str, worker_file: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main([apache_file, worker_file]) == 0
@@ -45,7 +45,7 @@
     ]
 
 
-def test_two_servers_of_one_name_end_the_import(
+def test_two_servers_with_the_same_name_end_the_import(
     apache_file: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     duplicate = tmp_path / "duplicate.properties"
@@ -54,7 +54,7 @@
     assert "two members" in capsys.readouterr().err
 
 
-def test_an_unreadable_line_is_named_with_its_file(
+def test_an_unreadable_line_is_reported_with_its_file(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "workers.properties"
--- a/tests/importers/test_mod_jk.py
+++ b/tests/importers/test_mod_jk.py
@@ -1,4 +1,4 @@
-"""Worker files of mod_jk, and the servers that they name."""
+"""Worker files of mod_jk, and the servers imported from them."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 """
 
 
-def test_workers() -> None:
+def test_workers_are_imported() -> None:
     imported = parse_workers(WORKER_FILE)
     assert imported.servers == (
         ImportedServer("w1", "10.0.0.1", 8010, 2.0),
@@ -38,7 +38,7 @@
     assert imported.warnings == ("worker w1: socket_timeout is not carried over",)
 
 
-def test_without_a_load_balancer_the_listed_workers_that_are_servers_count() -> None:
+def test_without_a_load_balancer_the_listed_workers_that_are_servers_are_imported() -> None:
     imported = parse_workers("worker.list=a b\nworker.b.type=status")
     assert [server.name for server in imported.servers] == ["a"]
     assert imported.warnings == ("worker b: type status is no server",)
@@ -53,6 +53,6 @@
         ("worker.list=a\nworker.a.reference=worker.a", "refers to itself"),
     ],
 )
-def test_unreadable_workers_are_named(text: str, problem: str) -> None:
+def test_an_unreadable_worker_raises_an_error_that_names_the_problem(text: str, problem: str) -> None:
     with pytest.raises(ImporterError, match=problem):
         parse_workers(text)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of any customer: each either works or ends the start with one line that names the field."""
+"""The configuration file: each value either works or fails the start with one line that names the key."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     TimerFired,
 )
 
-FULL: dict[str, Any] = {
+ALL_SETTINGS: dict[str, Any] = {
     "instances": 3,
     "my-zone": 1,
     "azs": ["north", "south"],
@@ -68,7 +68,7 @@
     },
     "costs": {"moves": 0.01},
 }
-NEEDED = {
+REQUIRED_PATHS = {
     "classes",
     "classes.0.name",
     "classes.0.goal-time",
@@ -79,8 +79,8 @@
 }
 
 
-def paths(value: Any, path: str = "") -> Iterator[str]:
-    """Yield the path of each key and each index inside a value, outer ones first."""
+def list_paths(value: Any, path: str = "") -> Iterator[str]:
+    """Yield the path of each key and index inside a value, parents before children."""
     items: Any = ()
     if isinstance(value, dict):
         items = value.items()
@@ -88,15 +88,15 @@
         items = enumerate(value)
     for key, inner in items:
         yield f"{path}{key}"
-        yield from paths(inner, f"{path}{key}.")
+        yield from list_paths(inner, f"{path}{key}.")
 
 
-def changed(value: Any, path: str, new: Any) -> Any:
-    """Return a copy with another value at a path; without it where new is Ellipsis."""
+def replace_value(value: Any, path: str, new: Any) -> Any:
+    """Return a copy with the value at a path replaced, or removed if `new` is Ellipsis."""
     key, _, rest = path.partition(".")
     pairs: list[Any] = list(value.items() if isinstance(value, dict) else enumerate(value))
     pairs = [
-        (k, changed(x, rest, new) if str(k) == key and rest else new if str(k) == key else x)
+        (k, replace_value(x, rest, new) if str(k) == key and rest else new if str(k) == key else x)
         for k, x in pairs
     ]
     pairs = [(k, x) for k, x in pairs if x is not ...]
@@ -106,14 +106,14 @@
 def config_file(**changes: Any) -> dict[str, Any]:
     """Return the content of a configuration file, with other keys or values."""
     platform = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "seed": "1f", "known": {}}
-    return {**platform, "settings": FULL, **changes}
+    return {**platform, "settings": ALL_SETTINGS, **changes}
 
 
-def plays(settings: Settings) -> None:
-    """Play some requests over cold, draining and failing servers: nothing raises, all get an answer."""
+def check_every_request_is_answered(settings: Settings) -> None:
+    """Run requests against cold, draining and failing servers: nothing raises, and all are answered."""
     driver = BalancerDriver()
     driver.balancer.__init__(settings, 1)  # type: ignore[misc]
-    patience = 100_000.0
+    deadline_ms = 100_000.0
     servers = [
         Endpoint(id=f"s{n}", zone=n % 3, machine_type=n, cell=n % 2, started_at=driver.now if n > 2 else 0.0)
         for n in range(6)
@@ -121,55 +121,55 @@
     driver.update_list(*servers)
     driver.loads = {s.id: 0.1 for s in servers}
     for n in range(24):
-        rid = driver.wait(25).request(deadline_in_ms=patience, group=n % 4 or None, client=n)
-        outcome = (
+        request_number = driver.wait(25).request(deadline_in_ms=deadline_ms, group=n % 4 or None, client=n)
+        attempt_status = (
             AttemptStatus.ERROR,
             AttemptStatus.AT_CAPACITY,
             AttemptStatus.OK,
             AttemptStatus.CONNECT_FAILED,
         )[n % 4]
-        if sends := driver.attempts.get(rid):
+        if sent_attempts := driver.attempts.get(request_number):
             driver.handle_event(
                 AttemptEnded(
-                    request_id=rid,
+                    request_id=request_number,
                     attempt=0,
-                    endpoint_id=sends[0].endpoint_id,
-                    status=outcome,
+                    endpoint_id=sent_attempts[0].endpoint_id,
+                    status=attempt_status,
                     elapsed_ms=5.0,
                 )
             )
     driver.update_list(*(s._replace(lifecycle=Lifecycle.DRAINING) for s in servers))
-    driver.wait(patience)
+    driver.wait(deadline_ms)
     for action in [a for a in driver.actions if isinstance(a, StartTimer)]:
         driver.handle_event(TimerFired(action.token))
-    for rid, sends in driver.attempts.items():
+    for request_number, sent_attempts in driver.attempts.items():
         driver.handle_event(
             AttemptEnded(
-                request_id=rid,
-                attempt=len(sends) - 1,
-                endpoint_id=sends[-1].endpoint_id,
+                request_id=request_number,
+                attempt=len(sent_attempts) - 1,
+                endpoint_id=sent_attempts[-1].endpoint_id,
                 status=AttemptStatus.TIMED_OUT,
                 elapsed_ms=5.0,
             )
         )
-    owed = set[RequestId](range(1, driver.request_count + 1))
+    expected = set[RequestId](range(1, driver.request_count + 1))
     answered = {a.request_id for a in driver.actions if isinstance(a, Reject | Fail)}
-    served = {rid for rid in driver.attempts if (int(rid) - 1) % 4 == 2}  # type: ignore[call-overload]
-    assert answered | served == owed
+    served = {request_number for request_number in driver.attempts if (int(request_number) - 1) % 4 == 2}  # type: ignore[call-overload]
+    assert answered | served == expected
 
 
-@pytest.mark.parametrize("path", [*paths(FULL)])
+@pytest.mark.parametrize("path", [*list_paths(ALL_SETTINGS)])
 @pytest.mark.parametrize("new", [..., None, 0, -1, 1, 1e300, "nan", "x", [], {}], ids=repr)
 def test_each_setting_works_or_is_named(path: str, new: Any) -> None:
     try:
-        conf = parse(config_file(settings=changed(FULL, path, new)), "here")
+        config = parse(config_file(settings=replace_value(ALL_SETTINGS, path, new)), "here")
     except ConfigError as error:
-        text = str(error)
-        assert any(part in text for part in path.split(".") if not part.isdigit()), text
-        assert "\n" not in text
+        message = str(error)
+        assert any(part in message for part in path.split(".") if not part.isdigit()), message
+        assert "\n" not in message
     else:
-        plays(conf.settings)
-        assert path not in NEEDED or new not in (..., None)
+        check_every_request_is_answered(config.settings)
+        assert path not in REQUIRED_PATHS or new not in (..., None)
 
 
 @pytest.mark.parametrize("key", ["name", "listen", "discovery", "seed", "settings", "known"])
@@ -179,7 +179,7 @@
     if new is ...:
         del file[key]
     if key == "known" or (key == "name" and new not in (..., None)):
-        # A list that cannot be used does not keep the program from its start.
+        # An invalid list does not prevent the start.
         assert parse(file, "here")
     else:
         with pytest.raises(ConfigError, match=key) as caught:
--- a/walkloom/config.py
+++ b/walkloom/config.py
@@ -249,7 +249,7 @@
 
 def _longest_deadline_ms(reader: SettingsReader, class_count: int) -> float:
     return max(
-        reader.number(f"classes.{index}.hard-limit", least=MIN_DEADLINE_MS) for index in range(class_count)
+        reader.number(f"classes.{index}.hard-limit", minimum=MIN_DEADLINE_MS) for index in range(class_count)
     )
 
 
--- a/walkloom/importers/apache.py
+++ b/walkloom/importers/apache.py
@@ -8,7 +8,7 @@
 from walkloom.importers.logical_lines import logical_lines
 from walkloom.importers.model import ImportedList, ImportedServer, UnreadableLineError, parse_weight
 
-# Ports of members whose URL names none, by scheme.
+# Default ports of members, by the scheme of their URL.
 DEFAULT_PORTS = {"http": 80, "https": 443, "ajp": 8009, "ws": 80, "wss": 443, "h2": 443, "h2c": 80}
 
 BALANCER_SCHEME = "balancer://"
@@ -25,7 +25,7 @@
 
 
 def parse_balancer_members(text: str) -> ImportedList:
-    """Read BalancerMember lines, within <Proxy balancer://...> or with the balancer named first.
+    """Read BalancerMember lines, inside <Proxy balancer://...> or with the balancer as first argument.
 
     Raises UnreadableLineError.
     """
@@ -52,7 +52,10 @@
 
 
 def _parse_member(line_number: int, arguments: list[str]) -> tuple[ImportedServer, list[str]]:
-    """Read a member from its URL and parameters; return it and what is not carried over."""
+    """Return a member from its URL and parameters, and a warning for each parameter that is not carried over.
+
+    Raises UnreadableLineError.
+    """
     if not arguments:
         raise UnreadableLineError(line_number, "BalancerMember without a URL")
     address = arguments[0]
@@ -79,15 +82,15 @@
 
 
 def _port(url: SplitResult) -> int:
-    """Return a URL's port, or that of its scheme.
+    """Return a URL's port, or the default port of its scheme.
 
-    Raises ValueError if the port is no number, KeyError if the scheme has none.
+    Raises ValueError if the port is not a number, KeyError if the scheme has no default port.
     """
     return url.port or DEFAULT_PORTS[url.scheme]
 
 
 def _parse_parameters(words: list[str]) -> dict[str, str]:
-    """Return name=value words by their names in lower case."""
+    """Return the values of name=value words by their names in lower case."""
     parameters: dict[str, str] = {}
     for word in words:
         name, _, value = word.partition("=")
@@ -96,7 +99,7 @@
 
 
 def _parse_status(status: str) -> set[str]:
-    """Return the letters that a status sets: D disabled, S stopped, N draining, ...; -X clears X."""
+    """Return the letters that a status sets: D disabled, S stopped, N draining and others; -X clears X."""
     flags: set[str] = set()
     for sign, letter in _STATUS_FLAG.findall(status):
         if sign == "-":
--- a/walkloom/importers/command.py
+++ b/walkloom/importers/command.py
@@ -1,7 +1,8 @@
 """The import command: reads files and prints one endpoint list in discovery's form.
 
-The list goes to standard output, for the key `known` of a balancer's configuration. What the files say and
-the list cannot hold goes to standard error, a line each. A line that cannot be read ends the import.
+The list is written to standard output, for the key `known` of a balancer's configuration. Each part of the
+files that the list cannot represent is reported on standard error, one line each. A line that cannot be read
+ends the import.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
     to_discovery_form,
 )
 
-# Suffix of mod_jk's worker files; all others are read as Apache configuration.
+# Suffix of mod_jk's worker files; all other files are read as Apache configuration.
 WORKER_FILE_SUFFIX = ".properties"
 
 EXIT_OK = 0
@@ -29,7 +30,7 @@
 
 
 def read_file(path: Path) -> ImportedList:
-    """Read one file; its suffix tells its form.
+    """Read one file, whose suffix determines its format.
 
     Raises FileImportError if it cannot be parsed, OSError if it cannot be opened.
     """
@@ -54,7 +55,7 @@
 def _print_list(paths: list[str]) -> None:
     if not paths:
         raise UsageError
-    # All files before the first line of output: a file that cannot be read leaves none.
+    # Read all files before the first line of output, so that nothing is printed if one cannot be read.
     imported_lists = [read_file(Path(path)) for path in paths]
     for imported_list in imported_lists:
         for warning in imported_list.warnings:
--- a/walkloom/importers/logical_lines.py
+++ b/walkloom/importers/logical_lines.py
@@ -1,4 +1,4 @@
-"""Logical lines of a configuration file: one that ends in a backslash goes on in the next."""
+"""Logical lines of a configuration file: a line that ends in a backslash continues on the next line."""
 
 from __future__ import annotations
 
--- a/walkloom/importers/mod_jk.py
+++ b/walkloom/importers/mod_jk.py
@@ -14,24 +14,24 @@
     parse_weight,
 )
 
-# Types of workers that are servers; others balance, or show a status.
+# Types of workers that are servers; other types are load balancers or status pages.
 SERVER_TYPES = ("ajp13", "ajp14")
 DEFAULT_TYPE = "ajp13"
 DEFAULT_HOST = "localhost"
 DEFAULT_PORT = "8009"
 
-# First letters of the property `activation`.
+# First letters of the values of the property `activation`.
 ACTIVE = "A"
 DISABLED = "D"
 STOPPED = "S"
 
-# Properties of a worker that are carried over, or that only the reader needs.
+# Properties of a worker that are carried over or used by the import; others cause a warning.
 KNOWN_PROPERTIES = {"type", "host", "port", "lbfactor", "route", "activation", "domain", "reference"}
 
 WORKER_PREFIX = "worker."
 WORKER_LIST = "worker.list"
 
-# Properties that may be given in several lines, each adding to those before.
+# Properties whose values accumulate over several lines.
 CUMULATIVE_SUFFIXES = (".balance_workers", WORKER_LIST)
 
 # Properties that name the members of a load balancer; the second is the older name.
@@ -44,15 +44,15 @@
 
 @dataclass(slots=True)
 class _Properties:
-    """The lines of a worker file."""
+    """The properties and macros of a worker file."""
 
-    # Values of the lines worker.NAME.PROPERTY=VALUE, by their whole keys.
+    # Values of the lines worker.NAME.PROPERTY=VALUE, by their full keys.
     values: dict[str, str] = field(default_factory=dict)
 
-    # Number of the line of each key.
+    # Line number of each key.
     line_numbers: dict[str, int] = field(default_factory=dict)
 
-    # Values of all other lines, for $(NAME) in the lines that follow.
+    # Values of all other lines, which replace $(NAME) in later lines.
     macros: dict[str, str] = field(default_factory=dict)
 
     def add(self, line_number: int, key: str, value: str) -> None:
@@ -66,19 +66,20 @@
             self.line_numbers[key] = line_number
 
     def server_names(self) -> list[str]:
-        """Return the members of all load balancers; without any, the workers of worker.list."""
+        """Return the members of all load balancers; if there are none, the workers of worker.list."""
         member_lists = [value for key, value in self.values.items() if key.endswith(MEMBER_SUFFIXES)]
         names = _split_names(",".join(member_lists))
         if not names:
             names = _split_names(self.values.get(WORKER_LIST, ""))
         return list(dict.fromkeys(names))
 
-    def of_worker(self, name: str, referring: tuple[str, ...] = ()) -> dict[str, str]:
-        """Return a worker's own properties over those of the worker that it refers to.
+    def worker_properties(self, name: str, referrers: tuple[str, ...] = ()) -> dict[str, str]:
+        """Return a worker's properties, which override those of the worker that it references.
 
-        referring: the workers over which it was come to. Raises WorkerReferenceError.
+        referrers: the chain of workers whose references led to this one. Raises WorkerReferenceError if it
+        references itself.
         """
-        if name in referring:
+        if name in referrers:
             raise WorkerReferenceError(name)
         prefix = f"{WORKER_PREFIX}{name}."
         own = {
@@ -87,17 +88,17 @@
         if "reference" not in own:
             return own
         template = own["reference"].removeprefix(WORKER_PREFIX)
-        return self.of_worker(template, (*referring, name)) | own
+        return self.worker_properties(template, (*referrers, name)) | own
 
-    def first_line_of(self, name: str) -> int:
-        """Return the number of a worker's first line; 0 if it has none."""
+    def first_line_number(self, name: str) -> int:
+        """Return the number of a worker's first line; 0 if it has no line."""
         prefix = f"{WORKER_PREFIX}{name}."
         numbers = [number for key, number in self.line_numbers.items() if key.startswith(prefix)]
         return min(numbers, default=0)
 
 
 def parse_workers(text: str) -> ImportedList:
-    """Read worker.NAME.PROPERTY=VALUE lines: templates by `reference`, and the members of load balancers.
+    """Read worker.NAME.PROPERTY=VALUE lines, with templates (`reference`) and the members of load balancers.
 
     Raises UnreadableLineError or WorkerReferenceError.
     """
@@ -105,7 +106,7 @@
     servers: list[ImportedServer] = []
     warnings: list[str] = []
     for name in properties.server_names():
-        worker = properties.of_worker(name)
+        worker = properties.worker_properties(name)
         worker_type = worker.get("type", DEFAULT_TYPE)
         if worker_type not in SERVER_TYPES:
             warnings.append(f"worker {name}: type {worker_type} is no server")
@@ -134,7 +135,7 @@
         port = int(worker.get("port", DEFAULT_PORT))
         weight = parse_weight(worker.get("lbfactor", "1"))
     except ValueError as error:
-        raise UnreadableLineError(properties.first_line_of(name), f"worker {name}: {error}") from error
+        raise UnreadableLineError(properties.first_line_number(name), f"worker {name}: {error}") from error
     return ImportedServer(
         name=worker.get("route", name),
         host=worker.get("host", DEFAULT_HOST),
--- a/walkloom/importers/model.py
+++ b/walkloom/importers/model.py
@@ -1,11 +1,11 @@
-"""What the importers read, their errors, and the list that is printed from it.
+"""The servers that importers read, the errors, and the form of the printed list.
 
 ImporterError
-├── UsageError             no file was named
-├── FileImportError        a file cannot be imported; its cause says why
-├── UnreadableLineError              a line cannot be read
+├── UsageError             no file was given
+├── FileImportError        a file cannot be imported; the cause of the error is the reason
+├── UnreadableLineError    a line cannot be read
 ├── WorkerReferenceError   a worker refers to itself
-└── DuplicateServerError   two servers have one name
+└── DuplicateServerError   two servers have the same name
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 # Generation of the printed list: older than any that discovery sends.
 IMPORTED_GENERATION = 0
 
-# Start of an imported server, Unix time in ms: long ago.
+# Start time of an imported server, Unix time in ms: long past, so that it is not in slow start.
 IMPORTED_STARTED_AT_MS = 0
 
 
@@ -49,7 +49,7 @@
 
 
 class WorkerReferenceError(ImporterError):
-    """A worker refers to itself, directly or over others."""
+    """A worker refers to itself, directly or through other workers."""
 
     def __init__(self, worker_name: str) -> None:
         super().__init__(f"worker {worker_name}: refers to itself")
@@ -57,22 +57,22 @@
 
 
 class DuplicateServerError(ImporterError):
-    """Two servers have one name, by which the list must tell them apart."""
+    """Two servers have the same name, which must be unique in an endpoint list."""
 
     def __init__(self, names: list[str]) -> None:
-        super().__init__("two members have one name")
+        super().__init__("two members have the same name")
         self.names = names
 
 
-# Far above what either program takes.
+# Far above the largest weight that mod_proxy_balancer or mod_jk accepts.
 MAX_WEIGHT = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class ImportedServer:
-    """One server of another balancer's list."""
+    """A server on the list of another balancer."""
 
-    # Its route, by which sessions name it; else what its file calls it.
+    # Its route, which identifies it in sessions; without a route, its name in the file.
     name: str
 
     # Host name or IP address, without brackets.
@@ -80,41 +80,41 @@
 
     port: int
 
-    # Its capacity, relative to that of the others.
+    # Its capacity, relative to the other servers.
     weight: float = 1.0
 
-    # Name of its zone; empty: none.
+    # Name of its zone; empty if it has none.
     zone: str = ""
 
-    # It keeps the connections that it has and takes no new ones.
+    # Whether it keeps its connections but accepts no new ones.
     draining: bool = False
 
-    # It takes no connections; the list leaves it out.
+    # Whether it accepts no connections; the printed list then omits it.
     stopped: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ImportedList:
-    """What one file holds."""
+    """The content of one file."""
 
     servers: tuple[ImportedServer, ...]
 
-    # What was read and is not carried over, a line each.
+    # One line for each part of the file that is not carried over.
     warnings: tuple[str, ...]
 
 
 def parse_weight(text: str) -> float:
-    """Return a server's weight; raises ValueError where it is no number from 0 to MAX_WEIGHT."""
+    """Return a server's weight; raises ValueError if it is not a number from 0 to MAX_WEIGHT."""
     weight = float(text)
-    if not 0.0 <= weight <= MAX_WEIGHT:  # nan is not either
+    if not 0.0 <= weight <= MAX_WEIGHT:  # also rejects nan
         raise ValueError(f"not a weight: {text!r}")
     return weight
 
 
 def to_discovery_form(servers: tuple[ImportedServer, ...]) -> dict[str, object]:
-    """Return the servers as a whole list in discovery's form, without those that are stopped.
+    """Return the servers, except stopped ones, as a snapshot in discovery's form.
 
-    Its keys are those that walkloom/discovery/codec.py reads. Raises DuplicateServerError.
+    walkloom/discovery/codec.py reads this form. Raises DuplicateServerError.
     """
     names = [server.name for server in servers]
     if len(set(names)) < len(names):
--- a/walkloom/importers/parser.py
+++ b/walkloom/importers/parser.py
@@ -1,4 +1,4 @@
-"""Former address of the importer: python -m walkloom.importers.parser FILE..."""
+"""Former module of the importer, still supported: python -m walkloom.importers.parser FILE..."""
 
 from __future__ import annotations
 
--- a/walkloom/simulator/decoder.py
+++ b/walkloom/simulator/decoder.py
@@ -1,6 +1,7 @@
-"""Decodes the simulator's batches into events. The words in backquotes are those of the wire's page.
+"""Decodes the simulator's batches into events. Names in backquotes are those of the wire's specification.
 
-A batch is a header (clock in ms, number of records) and records (code, length of the fields, fields).
+A batch is a header (clock in ms, number of records) and the records (code, length of the fields in bytes,
+fields).
 """
 
 from __future__ import annotations
@@ -32,44 +33,44 @@
 _BATCH_HEADER = struct.Struct(">dI")
 _RECORD_HEADER = struct.Struct(">HI")
 _LIST_ENTRY = struct.Struct(">6sBBHBfd")
-_US_PER_MS = 1000.0  # loads come in microseconds of work a second
+_US_PER_MS = 1000.0  # the wire's loads are in microseconds of work per second
 
-# `attrs` of a request
+# Flags of the field `attrs` of a request.
 _HAS_LOAD = 1
 _IS_RETRY = 2
 _IS_ESTABLISHED = 8
 _IS_RECONNECT = 16
 
-# Codes of records, named as on the page.
-_LAPSED = 1000
-_ENDED = 1010
-_SUBMIT = 1020
-_NOTE = 1030
-_HANDOVER = 1040
-_FIRST = 1050
-_MEMO = 1060
-_TIMER = 1070
-_SHEET = 1080
-_UPDATE = 1090
-_ATTACH = 1100
-_HALT = 1110
-_ECHO = 1120
-
-# The fixed fields of each.
+# Codes of records, with the name of each in the wire's specification.
+_CLIENT_DISCONNECTED = 1000  # `Lapsed`
+_ATTEMPT_ENDED = 1010  # `Ended`
+_REQUEST = 1020  # `Submit`
+_CONNECTION_SIGNAL = 1030  # `Note`
+_CONNECTION_ADOPTED = 1040  # `Handover`
+_ATTEMPT_ESTABLISHED = 1050  # `First`
+_PEER_MESSAGE_RECEIVED = 1060  # `Memo`
+_TIMER_FIRED = 1070  # `Timer`
+_ENDPOINT_LIST = 1080  # `Sheet`
+_LIST_UPDATE = 1090  # `Update`
+_INSTANCE_STARTED = 1100  # `Attach`
+_INSTANCE_STOPPED = 1110  # `Halt`
+_LOAD_REPORT_RECEIVED = 1120  # `Echo`
+
+# Layout of the fixed fields of each record.
 _LAYOUTS = {
-    _LAPSED: struct.Struct(">HQ"),
-    _ENDED: struct.Struct(">HQBdH6sBB"),
-    _SUBMIT: struct.Struct(">HQHHQddQH"),
-    _NOTE: struct.Struct(">HQH6sBf"),
-    _HANDOVER: struct.Struct(">HQHHQddQH6s"),
-    _FIRST: struct.Struct(">HQd6sH"),
-    _MEMO: struct.Struct(">HIH"),
-    _TIMER: struct.Struct(">HI"),
-    _SHEET: struct.Struct(">II"),
-    _UPDATE: struct.Struct(">HBII"),
-    _ATTACH: struct.Struct(">HQI"),
-    _HALT: struct.Struct(">H"),
-    _ECHO: struct.Struct(">HB6sdB"),
+    _CLIENT_DISCONNECTED: struct.Struct(">HQ"),
+    _ATTEMPT_ENDED: struct.Struct(">HQBdH6sBB"),
+    _REQUEST: struct.Struct(">HQHHQddQH"),
+    _CONNECTION_SIGNAL: struct.Struct(">HQH6sBf"),
+    _CONNECTION_ADOPTED: struct.Struct(">HQHHQddQH6s"),
+    _ATTEMPT_ESTABLISHED: struct.Struct(">HQd6sH"),
+    _PEER_MESSAGE_RECEIVED: struct.Struct(">HIH"),
+    _TIMER_FIRED: struct.Struct(">HI"),
+    _ENDPOINT_LIST: struct.Struct(">II"),
+    _LIST_UPDATE: struct.Struct(">HBII"),
+    _INSTANCE_STARTED: struct.Struct(">HQI"),
+    _INSTANCE_STOPPED: struct.Struct(">H"),
+    _LOAD_REPORT_RECEIVED: struct.Struct(">HB6sdB"),
 }
 
 _STATUSES = tuple(AttemptStatus(number) for number in range(len(AttemptStatus)))
@@ -78,53 +79,53 @@
 
 
 class InstanceEvent(NamedTuple):
-    """An event, and the number of the balancer that it is for (`balancer-id`)."""
+    """An event and the number of the balancer that receives it (`balancer-id`)."""
 
     instance: int
     event: WireEvent
 
 
 class Batch(NamedTuple):
-    """What happened at one moment; `now` is the clock, ms."""
+    """The events of one point in time; `now` is the simulated clock, ms."""
 
     now: float
     events: Iterator[InstanceEvent]
 
 
 class _Record(NamedTuple):
-    """The fixed fields of a record, and where its variable part lies in the frame."""
+    """The fixed fields of a record and the bounds of its variable part, as offsets into the frame."""
 
     fields: tuple[Any, ...]
     frame: bytes
-    rest: int
+    variable_start: int
     end: int
 
     def content(self, length: int) -> bytes:
-        """The bytes after the fixed fields; WireError where there are fewer."""
-        if self.rest + length > self.end:
+        """Return `length` bytes after the fixed fields; raises WireError if the record is shorter."""
+        if self.variable_start + length > self.end:
             raise WireError(f"{length} bytes of content run past the record")
-        return self.frame[self.rest : self.rest + length]
+        return self.frame[self.variable_start : self.variable_start + length]
 
     def load_report(self, length: int) -> tuple[float, ...]:
-        """The values after the fixed fields (`stats`); none: no report came."""
+        """Return the values after the fixed fields (`stats`), empty without a report. Raises WireError."""
         if not length:
             return ()
-        if self.rest + 4 * length > self.end:
+        if self.variable_start + 4 * length > self.end:
             raise WireError(f"{length} load values run past the record")
-        return struct.unpack_from(f">{length}f", self.frame, self.rest)
+        return struct.unpack_from(f">{length}f", self.frame, self.variable_start)
 
 
 class Decoder:
-    """Decodes batches; keeps the numbered endpoint lists, which belong to the process as a whole."""
+    """Decodes batches; stores the numbered endpoint lists, which all balancers of the process share."""
 
     def __init__(self) -> None:
         self._lists: dict[int, tuple[Endpoint, ...]] = {}
 
     def decode_batch(self, frame: bytes) -> Batch:
-        """The clock and the events of one frame (without its length field), in order.
+        """Return the clock and the events, in order, of one frame (without its length field).
 
-        The complete frame is decoded before anything is handed out, so that a malformed one leaves no half
-        reply. Raises WireError, which names the record and its place.
+        The complete frame is decoded before any event is returned, so that a malformed frame causes no
+        partial reply. Raises WireError, which names the record and its offset.
         """
         if len(frame) < _BATCH_HEADER.size:
             raise WireError(f"batch header cut short: {len(frame)} bytes of {_BATCH_HEADER.size}")
@@ -141,47 +142,51 @@
     def _decode_record(
         self, frame: bytes, start: int, name: str, count: int, events: list[InstanceEvent]
     ) -> int:
-        """Append what the record says, and return where the next one begins."""
+        """Append the event of a record, if it has one; return the offset of the next record."""
         if start + _RECORD_HEADER.size > len(frame):
             raise WireError(f"{name} of {count} at byte {start}: header past the end of the frame")
         code, size = _RECORD_HEADER.unpack_from(frame, start)
-        begin = start + _RECORD_HEADER.size
-        end: int = begin + size
-        place = f"{name} (code {code}) at byte {start}"
+        fields_start = start + _RECORD_HEADER.size
+        end: int = fields_start + size
+        location = f"{name} (code {code}) at byte {start}"
         if end > len(frame):
-            raise WireError(f"{place}: {size} bytes run past its end, {len(frame)}")
-        if code in _LAYOUTS:  # others are events of a later version
+            raise WireError(f"{location}: {size} bytes run past its end, {len(frame)}")
+        if code in _LAYOUTS:  # unknown codes are events of a later version of the wire
             try:
-                self._decode_fields(code, frame, begin, end, events)
+                self._decode_fields(code, frame, fields_start, end, events)
             except (struct.error, IndexError, UnicodeDecodeError, WireError) as error:
-                raise WireError(f"{place}: {error}") from error
+                raise WireError(f"{location}: {error}") from error
         return end
 
     def _decode_fields(
-        self, code: int, frame: bytes, begin: int, end: int, events: list[InstanceEvent]
+        self, code: int, frame: bytes, fields_start: int, end: int, events: list[InstanceEvent]
     ) -> None:
         layout = _LAYOUTS[code]
-        if begin + layout.size > end:
-            raise WireError(f"needs {layout.size} bytes, has {end - begin}")
-        record = _Record(layout.unpack_from(frame, begin), frame, begin + layout.size, end)
-        if code == _SHEET:
+        if fields_start + layout.size > end:
+            raise WireError(f"needs {layout.size} bytes, has {end - fields_start}")
+        record = _Record(layout.unpack_from(frame, fields_start), frame, fields_start + layout.size, end)
+        if code == _ENDPOINT_LIST:
             self._store_list(record)
             return
-        event = self._list_update(record) if code == _UPDATE else _DECODERS[code](record)
+        event = self._decode_list_update(record) if code == _LIST_UPDATE else _DECODERS[code](record)
         events.append(InstanceEvent(record.fields[0], event))
 
     def _store_list(self, record: _Record) -> None:
-        """`Sheet`: a numbered list, which replaces the one before of that number."""
+        """Store a numbered endpoint list (`Sheet`), which replaces the previous list of that number."""
         number, length = record.fields
-        if record.rest + length * _LIST_ENTRY.size > record.end:
+        if record.variable_start + length * _LIST_ENTRY.size > record.end:
             raise WireError(f"{length} list lines run past the record")
-        places = range(record.rest, record.rest + length * _LIST_ENTRY.size, _LIST_ENTRY.size)
-        self._lists[number] = tuple(_endpoint(_LIST_ENTRY.unpack_from(record.frame, at)) for at in places)
-
-    def _list_update(self, record: _Record) -> EndpointListUpdate:
-        """`Update`: what discovery reports, by the number of a list."""
+        offsets = range(
+            record.variable_start, record.variable_start + length * _LIST_ENTRY.size, _LIST_ENTRY.size
+        )
+        self._lists[number] = tuple(
+            _decode_endpoint(_LIST_ENTRY.unpack_from(record.frame, offset)) for offset in offsets
+        )
+
+    def _decode_list_update(self, record: _Record) -> EndpointListUpdate:
+        """Decode `Update`: a result of discovery that refers to a list by its number."""
         _, kind_number, _, list_number = record.fields
-        kind = _pick(_UPDATE_KINDS, kind_number, "list kind")
+        kind = _lookup(_UPDATE_KINDS, kind_number, "list kind")
         if kind is UpdateKind.FAILED:
             return EndpointListUpdate(kind)
         if list_number not in self._lists:
@@ -189,125 +194,129 @@
         return EndpointListUpdate(kind, self._lists[list_number])
 
 
-def _pick(values: tuple[_T, ...], number: int, what: str) -> _T:
+def _lookup(values: tuple[_T, ...], number: int, label: str) -> _T:
     if number >= len(values):
-        raise WireError(f"unknown {what} {number}")
+        raise WireError(f"unknown {label} {number}")
     return values[number]
 
 
-def _endpoint(entry: tuple[Any, ...]) -> Endpoint:
-    server, zone, family_type, bay, status, heft, since = entry
+def _decode_endpoint(entry: tuple[Any, ...]) -> Endpoint:
+    server, zone, machine_type_index, cell_number, lifecycle_number, weight, started_at_ms = entry
     return Endpoint(
         id=server,
         zone=zone,
-        machine_type=family_type,
-        cell=bay,
-        lifecycle=_pick(_LIFECYCLES, status, "server state"),
-        capacity_weight=heft,
-        started_at=since,
+        machine_type=machine_type_index,
+        cell=cell_number,
+        lifecycle=_lookup(_LIFECYCLES, lifecycle_number, "server state"),
+        capacity_weight=weight,
+        started_at=started_at_ms,
     )
 
 
-def _request(record: _Record) -> Request:
-    """Decode `Submit`, or the first fields of `Handover`."""
-    _, request_id, priority, org, path_key, due, cost_guess, room, attributes = record.fields[:9]
+def _decode_request(record: _Record) -> Request:
+    """Decode `Submit`, or the leading fields of `Handover`, which are the same."""
+    _, request_id, class_index, tenant_index, key, deadline_at_ms, expected_load, group, attributes = (
+        record.fields[:9]
+    )
     return Request(
         id=request_id,
-        request_class=priority,
-        deadline=due,
-        tenant=org,
-        client_key=path_key or None,
-        affinity_group=room or None,
-        load=cost_guess if attributes & _HAS_LOAD else None,
+        request_class=class_index,
+        deadline=deadline_at_ms,
+        tenant=tenant_index,
+        client_key=key or None,
+        affinity_group=group or None,
+        load=expected_load if attributes & _HAS_LOAD else None,
         is_retry=bool(attributes & _IS_RETRY),
         is_established=bool(attributes & _IS_ESTABLISHED),
         is_reconnect=bool(attributes & _IS_RECONNECT),
     )
 
 
-def _connection_adopted(record: _Record) -> ConnectionAdopted:
+def _decode_connection_adopted(record: _Record) -> ConnectionAdopted:
     """Decode `Handover`."""
-    return ConnectionAdopted(_request(record), record.fields[9])
+    return ConnectionAdopted(_decode_request(record), record.fields[9])
 
 
-def _client_disconnected(record: _Record) -> ClientDisconnected:
+def _decode_client_disconnected(record: _Record) -> ClientDisconnected:
     """Decode `Lapsed`."""
     return ClientDisconnected(record.fields[1])
 
 
-def _attempt_established(record: _Record) -> AttemptEstablished:
+def _decode_attempt_established(record: _Record) -> AttemptEstablished:
     """Decode `First`."""
-    _, request_id, rtt, server, send_number = record.fields
-    return AttemptEstablished(request_id, attempt=send_number, endpoint_id=server, elapsed_ms=rtt)
+    _, request_id, duration_ms, server, attempt_number = record.fields
+    return AttemptEstablished(request_id, attempt=attempt_number, endpoint_id=server, elapsed_ms=duration_ms)
 
 
-def _attempt_ended(record: _Record) -> AttemptEnded:
+def _decode_attempt_ended(record: _Record) -> AttemptEnded:
     """Decode `Ended`."""
-    _, request_id, reason, rtt, send_number, server, finished, report_length = record.fields
+    _, request_id, status_number, duration_ms, attempt_number, server, is_request_closed, report_length = (
+        record.fields
+    )
     return AttemptEnded(
         request_id=request_id,
-        attempt=send_number,
+        attempt=attempt_number,
         endpoint_id=server,
-        status=_pick(_STATUSES, reason, "outcome"),
-        elapsed_ms=rtt,
-        request_closed=finished != 0,
+        status=_lookup(_STATUSES, status_number, "outcome"),
+        elapsed_ms=duration_ms,
+        request_closed=is_request_closed != 0,
         load_report=record.load_report(report_length),
     )
 
 
-def _connection_signal(record: _Record) -> ConnectionSignal:
+def _decode_connection_signal(record: _Record) -> ConnectionSignal:
     """Decode `Note`."""
-    _, request_id, send_number, server, kind, amount = record.fields
-    value = amount / _US_PER_MS if kind == SignalKind.LOAD else amount
+    _, request_id, attempt_number, server, kind, wire_value = record.fields
+    value = wire_value / _US_PER_MS if kind == SignalKind.LOAD else wire_value
     return ConnectionSignal(
-        request_id=request_id, attempt=send_number, endpoint_id=server, kind=kind, value=value
+        request_id=request_id, attempt=attempt_number, endpoint_id=server, kind=kind, value=value
     )
 
 
-def _load_report_received(record: _Record) -> LoadReportReceived:
+def _decode_load_report_received(record: _Record) -> LoadReportReceived:
     """Decode `Echo`."""
-    _, reason, server, rtt, report_length = record.fields
+    _, status_number, server, duration_ms, report_length = record.fields
     return LoadReportReceived(
         endpoint_id=server,
-        status=_pick(_STATUSES, reason, "outcome"),
-        elapsed_ms=rtt,
+        status=_lookup(_STATUSES, status_number, "outcome"),
+        elapsed_ms=duration_ms,
         load_report=record.load_report(report_length),
     )
 
 
-def _timer_fired(record: _Record) -> TimerFired:
+def _decode_timer_fired(record: _Record) -> TimerFired:
     """Decode `Timer`."""
     return TimerFired(record.fields[1])
 
 
-def _peer_message_received(record: _Record) -> PeerMessageReceived:
+def _decode_peer_message_received(record: _Record) -> PeerMessageReceived:
     """Decode `Memo`."""
     _, sender, length = record.fields
     return PeerMessageReceived(sender, record.content(length))
 
 
-def _instance_started(record: _Record) -> InstanceStarted:
+def _decode_instance_started(record: _Record) -> InstanceStarted:
     """Decode `Attach`."""
     _, seed, length = record.fields
     return InstanceStarted(seed, record.content(length).decode())
 
 
-def _instance_stopped(_: _Record) -> InstanceStopped:
+def _decode_instance_stopped(_: _Record) -> InstanceStopped:
     """Decode `Halt`."""
     return InstanceStopped()
 
 
-# `Sheet` and `Update` are not here: the decoder keeps the lists that they speak of.
+# `Sheet` and `Update` are decoded by Decoder, which stores the lists.
 _DECODERS: dict[int, Callable[[_Record], WireEvent]] = {
-    _LAPSED: _client_disconnected,
-    _ENDED: _attempt_ended,
-    _SUBMIT: _request,
-    _NOTE: _connection_signal,
-    _HANDOVER: _connection_adopted,
-    _FIRST: _attempt_established,
-    _MEMO: _peer_message_received,
-    _TIMER: _timer_fired,
-    _ATTACH: _instance_started,
-    _HALT: _instance_stopped,
-    _ECHO: _load_report_received,
+    _CLIENT_DISCONNECTED: _decode_client_disconnected,
+    _ATTEMPT_ENDED: _decode_attempt_ended,
+    _REQUEST: _decode_request,
+    _CONNECTION_SIGNAL: _decode_connection_signal,
+    _CONNECTION_ADOPTED: _decode_connection_adopted,
+    _ATTEMPT_ESTABLISHED: _decode_attempt_established,
+    _PEER_MESSAGE_RECEIVED: _decode_peer_message_received,
+    _TIMER_FIRED: _decode_timer_fired,
+    _INSTANCE_STARTED: _decode_instance_started,
+    _INSTANCE_STOPPED: _decode_instance_stopped,
+    _LOAD_REPORT_RECEIVED: _decode_load_report_received,
 }
--- a/walkloom/simulator/encoder.py
+++ b/walkloom/simulator/encoder.py
@@ -1,6 +1,6 @@
-"""Encodes actions as records of the simulator's wire. The words in backquotes are those of its page.
+"""Encodes actions as records of the simulator's wire. Names in backquotes are those of its specification.
 
-Every record begins with its code, the length of its fields and the number of the balancer.
+Every record begins with its code, the length of its fields in bytes and the number of the balancer.
 """
 
 from __future__ import annotations
@@ -28,29 +28,29 @@
 )
 
 _ALL_PEERS = 0xFFFFFFFF
-_MAX_TEXT_BYTES = 60_000  # the length of a text has 16 bits
-
-# Codes of records, named as on the page.
-_DISPATCH = 1000
-_REJECT = 1010
-_FAIL = 1020
-_REVOKE = 1030
-_DEFER = 1040
-_TEST = 1050
-_LET_GO = 1060
-_TELL = 1070
-_JOURNAL_LINE = 1080
-_BUG = 1090
-_WATCH = 1100
-_READ_LIST = 1110
-_GO_AWAY = 1120
+_MAX_TEXT_BYTES = 60_000  # the length of a text is a field of 16 bits
+
+# Codes of records, with the name of each in the wire's specification.
+_START_ATTEMPT = 1000  # `Dispatch`
+_REJECT = 1010  # `Reject`
+_FAIL = 1020  # `Fail`
+_CANCEL_ATTEMPT = 1030  # `Revoke`
+_START_TIMER = 1040  # `Defer`
+_POLL_LOAD_REPORT = 1050  # `Test`
+_CLOSE_IDLE_CONNECTIONS = 1060  # `LetGo`
+_SEND_PEER_MESSAGE = 1070  # `Tell`
+_LOG_MESSAGE = 1080  # `JournalLine`
+_FAILURE = 1090  # `Bug`
+_WATCH_ENDPOINT_LIST = 1100  # `Watch`
+_FETCH_ENDPOINT_LIST = 1110  # `ReadList`
+_MIGRATE_CONNECTION = 1120  # `GoAway`
 
 _REPLY_HEADER = struct.Struct(">II")
-_HEADER_BYTES = 6  # code and length, which the length does not count
-_BARE_RECORD = struct.Struct(">HIH")
+_HEADER_BYTES = 6  # code and length: not included in the length
+_EMPTY_RECORD = struct.Struct(">HIH")
 _REQUEST_RECORD = struct.Struct(">HIHQ")
 _ATTEMPT_RECORD = struct.Struct(">HIHQH")
-_DISPATCH_RECORD = struct.Struct(">HIHQ6sd")
+_START_ATTEMPT_RECORD = struct.Struct(">HIHQ6sd")
 _REJECT_RECORD = struct.Struct(">HIHQd")
 _TIMER_RECORD = struct.Struct(">HIHdI")
 _ENDPOINT_RECORD = struct.Struct(">HIH6s")
@@ -60,13 +60,16 @@
 
 
 def encode_actions(records: list[bytes], instance: int, actions: Sequence[WireAction]) -> None:
-    """Append one record for each action of a balancer, those that come most often first."""
+    """Append one record for each action of a balancer.
+
+    The most frequent types of action are checked first.
+    """
     for action in actions:
         if isinstance(action, StartAttempt):
             records.append(
                 _pack(
-                    _DISPATCH_RECORD,
-                    _DISPATCH,
+                    _START_ATTEMPT_RECORD,
+                    _START_ATTEMPT,
                     instance,
                     action.request_id,
                     action.endpoint_id,
@@ -74,51 +77,51 @@
                 )
             )
         elif isinstance(action, StartTimer):
-            records.append(_pack(_TIMER_RECORD, _DEFER, instance, action.fires_at, action.token))
+            records.append(_pack(_TIMER_RECORD, _START_TIMER, instance, action.fires_at, action.token))
         elif isinstance(action, PollLoadReport):
-            records.append(_pack(_ENDPOINT_RECORD, _TEST, instance, action.endpoint_id))
+            records.append(_pack(_ENDPOINT_RECORD, _POLL_LOAD_REPORT, instance, action.endpoint_id))
         else:
-            records.append(_encode_rare(instance, action))
+            records.append(_encode_other(instance, action))
 
 
 def _pack(layout: struct.Struct, code: int, instance: int, *fields: object) -> bytes:
     return layout.pack(code, layout.size - _HEADER_BYTES, instance, *fields)
 
 
-def _encode_rare(instance: int, action: WireAction) -> bytes:
+def _encode_other(instance: int, action: WireAction) -> bytes:
     match action:
         case Reject():
             return _pack(_REJECT_RECORD, _REJECT, instance, action.request_id, action.retry_after_ms)
         case Fail():
             return _pack(_REQUEST_RECORD, _FAIL, instance, action.request_id)
         case MigrateConnection():
-            return _pack(_REQUEST_RECORD, _GO_AWAY, instance, action.request_id)
+            return _pack(_REQUEST_RECORD, _MIGRATE_CONNECTION, instance, action.request_id)
         case WatchEndpointList():
-            return _pack(_FLAG_RECORD, _WATCH, instance, action.enabled)
+            return _pack(_FLAG_RECORD, _WATCH_ENDPOINT_LIST, instance, action.enabled)
         case LogMessage(text, endpoint_id):
-            place = "" if endpoint_id is None else f"{_address(endpoint_id)}: "
-            return _encode_text(_JOURNAL_LINE, instance, place + text)
+            prefix = "" if endpoint_id is None else f"{_format_endpoint_id(endpoint_id)}: "
+            return _encode_text(_LOG_MESSAGE, instance, prefix + text)
     return _encode_unused(instance, action)
 
 
 def _encode_unused(instance: int, action: WireAction) -> bytes:
-    """Actions that the wire knows and the policy never asks for."""
+    """Encode an action that the wire defines and the policy never uses; raises TypeError for any other."""
     match action:
         case CancelAttempt():
-            return _pack(_ATTEMPT_RECORD, _REVOKE, instance, action.request_id, action.attempt)
+            return _pack(_ATTEMPT_RECORD, _CANCEL_ATTEMPT, instance, action.request_id, action.attempt)
         case CloseIdleConnections():
-            return _pack(_ENDPOINT_RECORD, _LET_GO, instance, action.endpoint_id)
+            return _pack(_ENDPOINT_RECORD, _CLOSE_IDLE_CONNECTIONS, instance, action.endpoint_id)
         case SendPeerMessage(peer, data):
             peer = _ALL_PEERS if peer is None else peer
             length = _PEER_RECORD.size - _HEADER_BYTES + len(data)
-            return _PEER_RECORD.pack(_TELL, length, instance, peer, len(data)) + data
+            return _PEER_RECORD.pack(_SEND_PEER_MESSAGE, length, instance, peer, len(data)) + data
         case FetchEndpointList():
-            return _pack(_BARE_RECORD, _READ_LIST, instance)
+            return _pack(_EMPTY_RECORD, _FETCH_ENDPOINT_LIST, instance)
     raise TypeError(f"not an action: {action!r}")
 
 
-def _address(endpoint_id: EndpointId) -> str:
-    """The address and port that an endpoint's six bytes stand for; other ids as they are."""
+def _format_endpoint_id(endpoint_id: EndpointId) -> str:
+    """Return the address and port that an endpoint id of six bytes encodes; other ids as text."""
     if not isinstance(endpoint_id, bytes) or len(endpoint_id) != 6:
         return str(endpoint_id)
     host = ".".join(str(byte) for byte in endpoint_id[:4])
@@ -132,11 +135,11 @@
 
 
 def encode_failure(instance: int, text: str) -> bytes:
-    """The record `Bug`, which reports a failure of the decision code."""
-    return _encode_text(_BUG, instance, text)
+    """Return the record `Bug`, which reports an exception raised while a balancer handled an event."""
+    return _encode_text(_FAILURE, instance, text)
 
 
 def encode_reply(records: list[bytes]) -> bytes:
-    """The reply to one batch."""
+    """Return the reply to one batch."""
     body = b"".join(records)
     return _REPLY_HEADER.pack(_REPLY_HEADER.size - 4 + len(body), len(records)) + body
--- a/walkloom/simulator/host.py
+++ b/walkloom/simulator/host.py
@@ -1,4 +1,4 @@
-"""Hosts balancers on the simulator's wire: python -m walkloom.simulator.host. It decides nothing."""
+"""Runs balancers on the simulator's wire: python -m walkloom.simulator.host. It takes no decisions."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 from walkloom.simulator.settings import SettingsReader, parse_settings_lines, read_settings
 
 _FRAME_LENGTH = struct.Struct(">I")
-_TRACEBACK_FRAMES = -3  # the innermost ones
-_UNUSABLE_INPUT = 2  # exit status
+_TRACEBACK_FRAMES = -3  # negative: the innermost frames
+_EXIT_MALFORMED_INPUT = 2
 
 
 class Host:
-    """The balancers of this process, each with a state of its own."""
+    """The balancers of this process, each with its own state."""
 
     def __init__(self) -> None:
         self._decoder = Decoder()
         self._balancers: dict[int, Balancer] = {}
 
     def answer(self, frame: bytes) -> bytes:
-        """The reply to one batch. Raises WireError where the frame is malformed."""
+        """Return the reply to one batch. Raises WireError if the frame is malformed."""
         batch = self._decoder.decode_batch(frame)
         records: list[bytes] = []
         for instance, event in batch.events:
             try:
                 self._handle(records, InstanceEvent(instance, event), batch.now)
-            except Exception as error:  # noqa: BLE001 - whatever fails in one balancer is reported as its own
+            except Exception as error:  # noqa: BLE001 - reported as a failure of this balancer only
                 self._balancers.pop(instance, None)
                 trace = traceback.format_exc(limit=_TRACEBACK_FRAMES)
                 text = f"{type(error).__name__}: {error} on {event!r:.300}\n{trace}"
                 records.append(encode_failure(instance, text))
         return encode_reply(records)
 
-    def _handle(self, records: list[bytes], item: InstanceEvent, now: float) -> None:
-        instance, event = item
+    def _handle(self, records: list[bytes], instance_event: InstanceEvent, now: float) -> None:
+        instance, event = instance_event
         if isinstance(event, InstanceStarted):
             reader = SettingsReader(parse_settings_lines(event.settings_text))
             self._balancers[instance] = Balancer(read_settings(reader), event.seed)
@@ -53,7 +53,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends. Raises WireError, which names the batch."""
+    """Answer batches until the input ends. Raises WireError, whose text names the batch."""
     host = Host()
     number = 0
     while header := source.read(_FRAME_LENGTH.size):
@@ -73,12 +73,12 @@
 
 
 def main() -> int:
-    """Serve standard input and output; returns the exit status."""
+    """Serve standard input and output; return the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
         print(f"walkloom: {error}", file=sys.stderr)
-        return _UNUSABLE_INPUT
+        return _EXIT_MALFORMED_INPUT
     return 0
 
 
--- a/walkloom/simulator/records.py
+++ b/walkloom/simulator/records.py
@@ -1,7 +1,7 @@
-"""What the simulator's wire carries beyond the policy's own messages.
+"""Events and actions of the simulator's wire that are not messages of the policy.
 
-Of these the program handles InstanceStarted and InstanceStopped; the others are there because the wire's page
-has records for them.
+The host handles InstanceStarted and InstanceStopped. The others complete the set of records that the wire's
+specification defines.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 
 
 class InstanceStarted(NamedTuple):
-    """Event `Attach`: a balancer starts, with nothing known."""
+    """Event `Attach`: a balancer starts, with an empty state."""
 
-    # For its random numbers (`rng-seed`).
+    # Seed of its random numbers (`rng-seed`).
     seed: int
 
     # Its settings (`profile-data`): path=value lines.
@@ -22,48 +22,48 @@
 
 
 class InstanceStopped(NamedTuple):
-    """Event `Halt`: a balancer has ended; all that it held is void."""
+    """Event `Halt`: a balancer has stopped; its state is discarded."""
 
 
 class PeerMessageReceived(NamedTuple):
-    """Event `Memo`: bytes came from another balancer. The policy takes none."""
+    """Event `Memo`: another balancer sent a message. The policy does not use it."""
 
-    # Number of the balancer (`who`).
+    # Number of the sending balancer (`who`).
     sender: int
 
-    # What was sent (`msg`).
+    # Content of the message (`msg`).
     data: bytes
 
 
 class CancelAttempt(NamedTuple):
-    """Action `Revoke`: end the wait for one attempt. The policy never asks for it."""
+    """Action `Revoke`: stop waiting for one attempt. The policy never uses it."""
 
     # The request that the attempt is for (`txn`).
     request_id: RequestId
 
-    # Number of the attempt, from 0 for each request (`send-no`).
+    # Number of the attempt, counted from 0 for each request (`send-no`).
     attempt: int
 
 
 class CloseIdleConnections(NamedTuple):
-    """Action `LetGo`: close the idle connections to an endpoint. The policy never asks for it."""
+    """Action `LetGo`: close the idle connections to an endpoint. The policy never uses it."""
 
-    # The endpoint to which they are open (`server`).
+    # The endpoint of these connections (`server`).
     endpoint_id: EndpointId
 
 
 class SendPeerMessage(NamedTuple):
-    """Action `Tell`: send up to 256 bytes to other balancers. The policy never asks for it."""
+    """Action `Tell`: send a message of up to 256 bytes to other balancers. The policy never uses it."""
 
-    # Number of the balancer (`peer`); None: all.
+    # Number of the receiving balancer (`peer`); None: all.
     peer: int | None
 
-    # What is sent (`msg`).
+    # Content of the message (`msg`).
     data: bytes
 
 
 class FetchEndpointList(NamedTuple):
-    """Action `ReadList`: ask once for the complete endpoint list. The policy never asks for it."""
+    """Action `ReadList`: fetch the complete endpoint list once. The policy never uses it."""
 
 
 WireEvent: TypeAlias = Event | PeerMessageReceived | InstanceStarted | InstanceStopped
