--- a/tests/characterisation/quic_adapter.py
+++ b/tests/characterisation/quic_adapter.py
@@ -84,7 +84,9 @@
 
 def id_read(form: tuple[int, int, int], cid: bytes) -> Outcome:
     """The server within an id, and the length of ids of the form."""
-    return _outcome(lambda: (ConnectionIdFormat(*form).server_id(cid), ConnectionIdFormat(*form).length))
+    return _outcome(
+        lambda: (ConnectionIdFormat(*form).decode_server_id(cid), ConnectionIdFormat(*form).length)
+    )
 
 
 def key_fields(first: bytes, side: str) -> Outcome:
--- a/tests/frontends/quic/harness.py
+++ b/tests/frontends/quic/harness.py
@@ -1,23 +1,23 @@
-"""Stub clients and servers on loopback UDP, for scenarios (tests/scenario.py) against the QUIC frontend.
+"""Stub clients and servers on loopback UDP, for scenarios (tests/scenario.py) with the QUIC frontend.
 
-What a client can send:
+A client can send:
 
     initial                    its first Initial packet
-    initial_too_short          the same in a datagram under 1200 octets
-    initial_truncated          its first octets alone
-    other_version              a first packet of a version that nobody speaks
+    initial_too_short          the same packet in a datagram under 1200 octets
+    initial_truncated          only the first octets of the same packet
+    other_version              a first packet with an unsupported version
     one_rtt                    a 1-RTT packet of its connection
-    one_rtt_of_other_balancer  a 1-RTT packet to an id of server a that no balancer has seen
-    one_rtt_unroutable         a 1-RTT packet to an id that names no server
+    one_rtt_of_other_balancer  a 1-RTT packet with an id of server a that no balancer has seen
+    one_rtt_unroutable         a 1-RTT packet with an id that names no server
 
-What a server can send:
+A server can send:
 
-    initial, retry, one_rtt    the packets of these types
-    connection_refused         an Initial packet that closes with CONNECTION_REFUSED, behind an ACK
+    initial, retry, one_rtt    a packet of this type
+    connection_refused         an Initial packet that closes with CONNECTION_REFUSED after an ACK frame
     internal_error             an Initial packet that closes with INTERNAL_ERROR
 
-What comes is reported by the name of its packet type, an Initial packet that closes as `close CODE`; at a
-server with ` at NAME` behind.
+A received packet is described by the name of its packet type, or as `close CODE` if it is an Initial packet
+that closes the connection. At a server, ` at NAME` is appended.
 """
 
 from __future__ import annotations
@@ -49,16 +49,16 @@
 CONNECTION_ID_FORMAT = ConnectionIdFormat(config_id=1, server_id_length=2, nonce_length=6)
 ANY_LOCAL_PORT = ("127.0.0.1", 0)
 
-# The destination connection id that the client c invents, and its own.
+# The destination connection id that client c chooses, and the source connection id of all clients.
 CLIENT_DCID = b"first-id"
 CLIENT_SCID = b"cl"
 
 UNROUTABLE_DCID = b"\xff" * CONNECTION_ID_FORMAT.length
 
-# A version of the form that RFC 9000, section 15, reserves to force Version Negotiation.
+# A version of the pattern that RFC 9000, section 15, reserves to force version negotiation.
 RESERVED_VERSION = 0x1A2A3A4A
 
-# Frames as they stand on the wire.
+# Encoded frames.
 CRYPTO_FRAME = b"\x06\x00\x04helo"
 ACK_FRAME = b"\x02\0\0\0\0"
 CLOSE_CONNECTION_REFUSED_FRAME = b"\x1c\x02\0\0"
@@ -83,7 +83,7 @@
 
 
 def describe(datagram: bytes, sender: Sender, client_dcid: bytes) -> str:
-    """Return what a peer sees in a datagram; Initial packets are opened with the keys of their sender."""
+    """Return the description of a datagram; Initial packets are decrypted with the keys of their sender."""
     header = parse_header(datagram, CONNECTION_ID_FORMAT.length)
     if header.packet_type is not PacketType.INITIAL:
         return header.packet_type.name.lower()
@@ -93,19 +93,22 @@
 
 
 class Client:
-    """A client of the balancers."""
+    """A stub client of the balancers."""
 
     def __init__(self, world: Any, balancer_address: SocketAddress, initial_dcid: bytes) -> None:
-        """Create it with the id that it invents for its first Initial packet."""
+        """Create a client.
+
+        initial_dcid: the destination connection id of its first Initial packet.
+        """
         self._world = world
         self._balancer_address = balancer_address
         self._initial_dcid = initial_dcid
-        # Where its 1-RTT packets go: the id that the server gave it last.
+        # The destination of its 1-RTT packets: the connection id that the server issued last.
         self._server_connection_id = initial_dcid
         self._socket = trio.socket.socket(type=trio.socket.SOCK_DGRAM)
 
     async def send(self, text: str) -> None:
-        """Send what the word stands for; see the module."""
+        """Send the named datagram; see the module."""
         datagram = self._build_datagrams()[text]
         await self._socket.sendto(datagram, self._balancer_address)
 
@@ -126,10 +129,10 @@
         }
 
     async def receive(self) -> str:
-        """Return what comes next, and take the connection id from it."""
+        """Return the description of the next datagram, and store the connection id that it contains."""
         datagram = await self._socket.recv(LARGEST_DATAGRAM_BYTES)
         if not has_long_header(datagram):
-            # Raises where it is malformed; the test then fails.
+            # Raises PacketError for a malformed packet, which fails the test.
             parse_header(datagram, len(CLIENT_SCID))
             return "one_rtt"
         header = parse_header(datagram, CONNECTION_ID_FORMAT.length)
@@ -140,32 +143,32 @@
         return describe(datagram, Sender.SERVER, self._initial_dcid)
 
     async def close(self) -> None:
-        """Close the socket."""
+        """Close the client's socket."""
         self._socket.close()
 
     async def reset(self) -> None:
-        """Migrate to another address, with the same connection."""
+        """Migrate the connection to another client address."""
         self._socket.close()
         self._socket = trio.socket.socket(type=trio.socket.SOCK_DGRAM)
 
     async def switch_balancer(self) -> None:
-        """Send to the second balancer from now on, with the same connection."""
+        """Send the connection's packets to the second balancer from now on."""
         self._balancer_address = self._world.second_balancer_address
 
 
 class ServerPath:
-    """A connection, or one path of it, as a server sees it: an address that packets come from."""
+    """One path of a connection at a stub server, identified by the source address of its packets."""
 
     def __init__(self, server: str, socket: Any, peer_address: SocketAddress) -> None:
-        """Create it for the server's socket and the address that its packets come from."""
+        """Create a path for the server's socket and the source address of the packets."""
         self._server = server
         self._socket = socket
         self._peer_address = peer_address
-        self.put, self._get = trio.open_memory_channel[bytes](100)
+        self.incoming, self._received = trio.open_memory_channel[bytes](100)
         self._client_dcid = CLIENT_DCID
 
     async def send(self, text: str) -> None:
-        """Send what the word stands for; see the module."""
+        """Send the named datagram; see the module."""
         await self._socket.sendto(self._build_datagrams()[text], self._peer_address)
 
     def _build_datagrams(self) -> dict[str, bytes]:
@@ -186,26 +189,26 @@
         }
 
     async def receive(self) -> str:
-        """Return what comes next."""
-        datagram = await self._get.receive()
+        """Return the description of the next datagram."""
+        datagram = await self._received.receive()
         if has_long_header(datagram):
             self._client_dcid = parse_header(datagram, 0).destination_connection_id
         return f"{describe(datagram, Sender.CLIENT, self._client_dcid)} at {self._server}"
 
     async def close(self) -> None:
-        """Close the socket of the whole server."""
+        """Close the server's socket, which all of its paths share."""
         self._socket.close()
 
     async def reset(self) -> None:
-        """Fail: UDP knows no reset."""
+        """Raise NotImplementedError: UDP has no reset."""
         raise NotImplementedError
 
 
 async def build_frontends(world: Any) -> None:
-    """Start servers a and b, and two balancers that share nothing; clients begin at the first."""
+    """Start servers a and b, and two balancers without shared state; clients begin at the first."""
     world.servers = ("a", "b")
     endpoints = [await start_server(world, server) for server in world.servers]
-    conf = QuicConfig(
+    config = QuicConfig(
         listen=ANY_LOCAL_PORT,
         connection_id_format=CONNECTION_ID_FORMAT,
         request_class=0,
@@ -214,20 +217,20 @@
         max_connections=MAX_CONNECTIONS,
         endpoints=tuple(endpoints),
     )
-    frontend = QuicFrontend(world.engine, conf)
+    frontend = QuicFrontend(world.engine, config)
     world.frontend = frontend
     address = await world.nursery.start(frontend.run)
     second_world = scenario.World(world.nursery)
     second_world.servers = world.servers
     second_world.listed("up")
-    second_frontend = QuicFrontend(second_world.engine, conf)
+    second_frontend = QuicFrontend(second_world.engine, config)
     world.second_balancer_address = await world.nursery.start(second_frontend.run)
 
     async def assert_dropped(expected_summary: str) -> None:
         assert frontend.drop_counters.summary() == expected_summary
 
-    async def dial(who: str) -> Client:
-        initial_dcid = CLIENT_DCID if who == "c" else who.encode().ljust(len(CLIENT_DCID), b"-")
+    async def dial(name: str) -> Client:
+        initial_dcid = CLIENT_DCID if name == "c" else name.encode().ljust(len(CLIENT_DCID), b"-")
         return Client(world, address, initial_dcid)
 
     world.verbs["dropped"] = assert_dropped
@@ -235,7 +238,7 @@
 
 
 async def start_server(world: Any, server: str) -> QuicEndpoint:
-    """Start a server on a port of its own."""
+    """Start a stub server on its own port."""
     sock = trio.socket.socket(type=trio.socket.SOCK_DGRAM)
     await sock.bind(ANY_LOCAL_PORT)
     world.nursery.start_soon(receive_at_server, world, server, sock)
@@ -243,7 +246,7 @@
 
 
 async def receive_at_server(world: Any, server: str, sock: Any) -> None:
-    """Hand each datagram to the path that it comes on, until the server's socket is closed."""
+    """Pass each datagram to the path of its source address until the server's socket is closed."""
     paths: dict[SocketAddress, ServerPath] = {}
     with suppress(trio.ClosedResourceError):
         while True:
@@ -251,4 +254,4 @@
             if address not in paths:
                 paths[address] = ServerPath(server, sock, address)
                 world.take(paths[address])
-            paths[address].put.send_nowait(datagram)
+            paths[address].incoming.send_nowait(datagram)
--- a/tests/frontends/quic/test_frontend.py
+++ b/tests/frontends/quic/test_frontend.py
@@ -1,4 +1,4 @@
-"""Scenarios of the QUIC frontend; their words are in `harness`."""
+"""Scenarios of the QUIC frontend; `harness` documents the names of the packets."""
 
 from __future__ import annotations
 
@@ -135,19 +135,19 @@
 
 @pytest.mark.parametrize("script", CASES.values(), ids=CASES.keys())
 def test_scenario(script: str) -> None:
-    """Each step of the script holds; the policy makes two attempts at most."""
+    """Each step of the script passes; the policy makes at most two attempts."""
     scenario.run(script, build_frontends, max_attempts=2)
 
 
 def test_an_idle_connection_is_removed_with_its_ids_and_its_request() -> None:
-    """Nothing shows a balancer that a connection was closed, so that the idle timeout must end it."""
+    """A balancer cannot see that a connection was closed, so the idle timeout must end it."""
     worlds: list[Any] = []
 
-    async def build_and_keep(world: Any) -> None:
+    async def build_and_store_world(world: Any) -> None:
         worlds.append(world)
         await build_frontends(world)
 
-    longer_than_the_idle_timeout_ms = 61_000
-    scenario.run(ESTABLISHED + f"wait {longer_than_the_idle_timeout_ms}", build_and_keep)
+    beyond_idle_timeout_ms = 61_000
+    scenario.run(ESTABLISHED + f"wait {beyond_idle_timeout_ms}", build_and_store_world)
     assert len(worlds[0].frontend.connections) == 0
     assert worlds[0].engine.idle
--- a/tests/frontends/quic/test_initial_keys.py
+++ b/tests/frontends/quic/test_initial_keys.py
@@ -1,4 +1,4 @@
-"""The keys of Initial packets."""
+"""Initial keys."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def test_initial_keys_are_those_of_rfc_9001_appendix_a_1() -> None:
-    """The keys that the RFC derives as its example."""
+    """The RFC's sample keys."""
     client_dcid = bytes.fromhex("8394c8f03e515708")
     client = derive_initial_keys(client_dcid, Sender.CLIENT)
     server = derive_initial_keys(client_dcid, Sender.SERVER)
--- a/tests/frontends/quic/test_packet.py
+++ b/tests/frontends/quic/test_packet.py
@@ -1,4 +1,4 @@
-"""Packet headers, and the integers within packets."""
+"""Packet headers and variable-length integers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     ["", "40", "c0", "c000000001146162", "c0000000010015", "80000000010000", "c00000000115" + "00" * 22],
 )
 def test_a_malformed_header_raises(datagram: str) -> None:
-    """Empty, cut off, with an id over 20 octets or without the fixed bit."""
+    """The cases: empty, truncated, with an id over 20 octets, or without the fixed bit."""
     with pytest.raises(PacketError):
         parse_header(bytes.fromhex(datagram), CONNECTION_ID_FORMAT.length)
 
@@ -31,7 +31,7 @@
     assert reader.position == len(data)
 
 
-def test_a_variable_length_integer_that_is_cut_off_raises() -> None:
-    """Its first octet announces four, and two are there."""
+def test_a_truncated_variable_length_integer_raises() -> None:
+    """The first octet encodes a length of four octets, but the datagram has two."""
     with pytest.raises(PacketError):
         DatagramReader(b"\x80\0").read_varint()
--- a/tests/frontends/quic/test_settings.py
+++ b/tests/frontends/quic/test_settings.py
@@ -1,4 +1,4 @@
-"""The operator's file of the QUIC frontend."""
+"""The settings file of the QUIC frontend."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
         ("[servers]", "[servers", "quic.toml"),
     ],
 )
-def test_an_unusable_file_raises_an_error_that_names_the_fault(
+def test_an_invalid_file_raises_an_error_that_names_the_fault(
     tmp_path: Path, old: str, new: str, named_in_error: str
 ) -> None:
-    """No file turns the frontend off, the example is usable, and with one line changed it is not."""
+    """No file turns the frontend off; the example file is valid, and one changed line makes it invalid."""
     names = SettingNames(("tile-view",), ("herb-ufsul",), (), ())
     path = tmp_path / "quic.toml"
     assert load(path, names) is None
--- a/walkloom/frontends/quic/__init__.py
+++ b/walkloom/frontends/quic/__init__.py
@@ -1,29 +1,29 @@
-"""The QUIC frontend: it forwards QUIC connections (RFC 9000) over UDP and terminates none.
+"""The QUIC frontend: forwards QUIC connections (RFC 9000) over UDP without terminating them.
 
-A balancer in front of QUIC sees encrypted packets. It reads only what is in the clear: the headers, and in
-them the connection ids. A client's first Initial packet becomes a request; the engine chooses the server.
-From then on packets go by connection id: the servers give ids that name them (the IETF's QUIC-LB draft), so
-that a client may change its address, and any balancer can forward a connection that another one placed. The
-frontend is off unless `deploy/quic.toml` is there.
+QUIC packets are encrypted, so the balancer reads only what is in the clear: the packet headers with their
+connection ids. A client's first Initial packet becomes a request, and the engine chooses the server. Later
+packets are routed by connection id: each server issues ids that contain its server id (the IETF's QUIC-LB
+draft). A client may therefore change its address, and any balancer can forward a connection that another one
+placed. The frontend is off unless `deploy/quic.toml` exists.
 
-One task serves one connection. From the top:
+One task serves one connection. Control flow, from the outside in:
 
-- `frontend` reads datagrams from clients and finds for each the connection, or the server that its id names.
-- `connection` is the life of one connection: handshake, relay, refusal.
+- `frontend` reads client datagrams and finds the connection of each, or the server that its id names.
+- `connection` implements the lifetime of one connection: handshake, relay, rejection.
 - `handshake` forwards the client's first packets to one server after another until one answers.
-- `relay` passes packets in both directions until the connection has ended.
+- `relay` forwards packets in both directions until the connection has ended.
 
-What these share:
+Shared parts:
 
-- `connection_context` is what all connections of a frontend share, `connection_state` what the stages of one
-  connection share.
-- `connection_table` finds a connection by its ids and limits their number.
-- `server_paths` holds a socket to the server for each address of the client.
-- `activity` says from the traffic when a connection has ended.
-- `drop_counters` counts what was not forwarded, and logs it.
+- `connection_context` holds what all connections of a frontend share, `connection_state` what the stages of
+  one connection share.
+- `connection_table` finds a connection by its connection ids and limits the number of connections.
+- `server_paths` holds one socket to the server for each address of the client.
+- `activity` infers from the traffic when a connection has ended.
+- `drop_counters` counts and logs what was not forwarded.
 
 Formats, without I/O: `packet` (headers), `connection_id`, `initial_packet`, `initial_keys`, `frames`,
-`datagram_reader`. `settings` reads the operator's file; `errors` holds the exceptions.
+`datagram_reader`. `settings` reads the configuration file; `errors` defines the exceptions.
 
-Modules that build or open Initial packets need the package cryptography; `settings` does without.
+Modules that build or decrypt Initial packets need the package cryptography; `settings` does not.
 """
--- a/walkloom/frontends/quic/activity.py
+++ b/walkloom/frontends/quic/activity.py
@@ -1,6 +1,6 @@
-"""Says from its traffic alone when a connection has ended; no I/O besides the clock.
+"""Infers from the traffic alone when a connection has ended; no I/O apart from reading the clock.
 
-The packets that close a connection are encrypted (RFC 9001), so that a balancer does not see them.
+The packets that close a connection are encrypted (RFC 9001), so the balancer cannot recognize them.
 """
 
 from __future__ import annotations
@@ -9,47 +9,54 @@
 
 import trio
 
-# A connection without any packet for so long counts as closed.
+# A connection without a packet in either direction for this duration counts as closed.
 IDLE_TIMEOUT_S = 60.0
 
-# A server counts as lost that has answered nothing for so long ...
-SERVER_SILENCE_S = 5.0
+# A server counts as lost when it has sent nothing for this duration ...
+SERVER_SILENCE_TIMEOUT_S = 5.0
 
-# ... to at least so many packets: a few need no answer, as those that only acknowledge.
+# ... although at least this many packets were forwarded to it. A few packets need no answer, for example
+# those that carry only acknowledgements.
 MIN_UNANSWERED_PACKETS = 3
 
 
 class ActivityMonitor:
-    """When packets of one connection came, and how many its server has not answered."""
+    """Records when packets of one connection arrived, and how many the server has not answered."""
 
     def __init__(self) -> None:
-        """Count the connection's start as activity."""
-        # Seconds of trio's clock.
+        """Start monitoring; the start of the connection counts as activity."""
+        # In seconds of trio's clock.
         self._last_activity_at = trio.current_time()
         self._unanswered_packets = 0
-        # When the oldest unanswered packet came; inf where there is none.
+        # Arrival time of the oldest unanswered packet, in seconds of trio's clock; inf if there is none.
         self._unanswered_since = math.inf
 
     def record_client_datagram(self) -> None:
-        """Note that the client sent something."""
+        """Record that a datagram arrived from the client."""
         self._last_activity_at = trio.current_time()
 
-    def record_forwarded(self) -> None:
-        """Note that the latest datagram is being forwarded to the server."""
+    def record_forwarded_datagram(self) -> None:
+        """Record that the latest client datagram is being forwarded to the server."""
         self._unanswered_packets += 1
         self._unanswered_since = min(self._unanswered_since, self._last_activity_at)
 
     def record_server_datagram(self) -> None:
-        """Note that the server sent something; it answers all that was forwarded so far."""
+        """Record that a datagram arrived from the server; it answers all packets forwarded so far."""
         self._last_activity_at = trio.current_time()
         self._unanswered_packets = 0
         self._unanswered_since = math.inf
 
     def is_server_silent(self, now: float) -> bool:
-        """Return whether the server has left too much unanswered for too long."""
+        """Return whether the server has left enough packets unanswered for the silence timeout.
+
+        now: in seconds of trio's clock.
+        """
         has_enough_packets = self._unanswered_packets >= MIN_UNANSWERED_PACKETS
-        return has_enough_packets and now - self._unanswered_since > SERVER_SILENCE_S
+        return has_enough_packets and now - self._unanswered_since > SERVER_SILENCE_TIMEOUT_S
 
     def is_idle(self, now: float) -> bool:
-        """Return whether neither side has sent anything for the idle timeout."""
+        """Return whether neither side has sent a packet for the idle timeout.
+
+        now: in seconds of trio's clock.
+        """
         return now - self._last_activity_at > IDLE_TIMEOUT_S
--- a/walkloom/frontends/quic/connection.py
+++ b/walkloom/frontends/quic/connection.py
@@ -1,4 +1,4 @@
-"""The life of one QUIC connection at this balancer, in one task."""
+"""The lifetime of one QUIC connection at this balancer; one task serves it."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 log = logging.getLogger("walkloom")
 
-# How long a refused client gets the same answer to Initial packets that it sends again: three times the
-# probe timeout (RFC 9000, section 10.2), which begins at about a second (RFC 9002, section 6.2.2).
+# How long Initial packets that a rejected client sends again are answered with the same packet: three times
+# the probe timeout (RFC 9000, section 10.2), which is initially about one second (RFC 9002, section 6.2.2).
 CLOSING_PERIOD_S = 3.0
 
 
 class QuicConnection:
-    """One connection of a client.
+    """One client connection.
 
-    The frontend's task hands in the client's datagrams by `receive`; the connection's own task runs `serve`
-    or `serve_adopted`.
+    The frontend's task passes the client's datagrams to `receive`; the connection's own task runs `serve` or
+    `serve_adopted`.
     """
 
     def __init__(
@@ -39,30 +39,34 @@
     ) -> None:
         """Create the connection.
 
-        handle: the connection at the engine. client_address: where its first datagram comes from.
+        handle: the connection's request at the engine. client_address: the source of the first datagram.
         """
         self._client_address = client_address
         self._state = ConnectionState(
             context=context,
             handle=handle,
-            connection_ids=ConnectionIds(context.table, self),
+            connection_ids=ConnectionIds(context.connection_table, self),
             paths=ServerPaths(),
             activity=ActivityMonitor(),
         )
         self._handshake = Handshake(self._state, client_address)
         self._relay = Relay(self._state)
-        # The final answer of a connection that got no server; empty before.
-        self._refusal = b""
+        # The Initial packet that rejects the client; empty unless the request was rejected or has failed.
+        self._refusal_datagram = b""
 
-    def learn_connection_id(self, connection_id: bytes) -> None:
-        """Have packets to this id come to this connection."""
-        self._state.connection_ids.learn(connection_id)
+    def register_connection_id(self, connection_id: bytes) -> None:
+        """Route packets with this destination connection id to this connection."""
+        self._state.connection_ids.register(connection_id)
 
     async def receive(self, header: PacketHeader, datagram: bytes, client_address: SocketAddress) -> None:
-        """Take one datagram from the client; header: of its first packet. Raises OSError."""
+        """Process one datagram from the client.
+
+        header: the header of the datagram's first packet. Raises OSError where a rejection cannot be sent
+        again, or a socket to the server cannot be opened for a new client address.
+        """
         self._state.activity.record_client_datagram()
-        if self._refusal:
-            await self._state.context.send_to_client(self._refusal, client_address)
+        if self._refusal_datagram:
+            await self._state.context.send_to_client(self._refusal_datagram, client_address)
             return
         if not self._state.handle.is_established:
             self._handshake.add_client_datagram(header, datagram, client_address)
@@ -70,15 +74,15 @@
             await self._relay.add_path(client_address)
         sock = self._find_path(client_address)
         if sock:
-            self._state.activity.record_forwarded()
-            # A refusal by ICMP is handled where the server's packets are read.
+            self._state.activity.record_forwarded_datagram()
+            # An ICMP error is handled where the server's packets are read.
             with suppress(OSError):
                 await sock.send(datagram)
 
     def _find_path(self, client_address: SocketAddress) -> trio.socket.SocketType | None:
-        """Return the socket for an address of the client.
+        """Return the socket to the server for a client address.
 
-        During the handshake any path will do: a client may not migrate yet (RFC 9000, section 9).
+        During the handshake any path is correct, because a client must not migrate yet (RFC 9000, section 9).
         """
         sock = self._state.paths.find(client_address)
         if sock is None and not self._state.handle.is_established:
@@ -86,7 +90,7 @@
         return sock
 
     async def serve(self) -> None:
-        """Serve a new connection, from its first packet to its end."""
+        """Serve a new connection from the handshake to its end."""
         try:
             if await self._establish():
                 await self._relay.run()
@@ -94,9 +98,10 @@
             self._close()
 
     async def serve_adopted(self, endpoint: QuicEndpoint, header: PacketHeader, datagram: bytes) -> None:
-        """Serve a connection that is established at a server, though this balancer has never seen it.
+        """Serve a connection that is already established at a server but new to this balancer.
 
-        header, datagram: with which it came.
+        header, datagram: the first datagram that arrived here. Raises OSError where the socket to the server
+        cannot be opened.
         """
         try:
             await self._state.paths.open(self._client_address, endpoint.address)
@@ -106,7 +111,7 @@
             self._close()
 
     async def _establish(self) -> bool:
-        """Carry out the engine's commands, one attempt after another; return whether a server was found."""
+        """Execute the engine's commands, one attempt after another; return whether a server answered."""
         while True:
             command = await self._state.handle.next_command()
             if isinstance(command, Reject | Fail):
@@ -120,11 +125,11 @@
                 self._state.handle.report_ended(failure)
 
     async def _refuse(self) -> None:
-        """Send the client its final answer; packets that it sends again get the same for a while."""
-        self._refusal = self._handshake.build_refusal()
+        """Send the client its final answer, and keep it for packets sent again in the closing period."""
+        self._refusal_datagram = self._handshake.build_refusal()
         log.info("quic_request_rejected request=%d", self._state.handle.id)
         with suppress(OSError):
-            await self._state.context.send_to_client(self._refusal, self._handshake.client_address)
+            await self._state.context.send_to_client(self._refusal_datagram, self._handshake.client_address)
         await trio.sleep(CLOSING_PERIOD_S)
 
     def _close(self) -> None:
--- a/walkloom/frontends/quic/connection_context.py
+++ b/walkloom/frontends/quic/connection_context.py
@@ -1,4 +1,4 @@
-"""What all connections of one frontend share."""
+"""The objects that all connections of one frontend share."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionContext:
-    """The parts of a frontend that its connections use."""
+    """The parts of a frontend that its connections use; one instance per frontend."""
 
     engine: Engine
 
-    # The servers by the name that discovery has for them.
+    # The servers by their endpoint id, as in discovery.
     endpoints: Mapping[str, QuicEndpoint]
 
-    # Of the ids that the servers give, in octets.
+    # Length of the connection ids that the servers issue, in octets.
     connection_id_length: int
 
-    table: ConnectionTable
+    connection_table: ConnectionTable
 
     drop_counters: DropCounters
 
-    # Sends a datagram to a client from the port that clients know; raises OSError.
+    # Sends a datagram to a client from the frontend's listening port; raises OSError.
     send_to_client: Callable[[bytes, SocketAddress], Awaitable[None]]
--- a/walkloom/frontends/quic/connection_state.py
+++ b/walkloom/frontends/quic/connection_state.py
@@ -1,4 +1,4 @@
-"""What the stages of one connection share."""
+"""The objects that the stages of one connection (handshake, relay, rejection) share."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionState:
-    """The parts of one connection that outlive a stage."""
+    """The parts of one connection that exist for its whole lifetime."""
 
     context: ConnectionContext
 
-    # The connection as the engine knows it.
+    # The connection's request at the engine.
     handle: RequestHandle
 
     connection_ids: ConnectionIds
--- a/walkloom/frontends/quic/connection_table.py
+++ b/walkloom/frontends/quic/connection_table.py
@@ -1,4 +1,4 @@
-"""Finds the connection of a packet by its connection id, and limits how many connections there are."""
+"""Finds the connection of a packet by its connection id, and limits the number of connections."""
 
 from __future__ import annotations
 
@@ -8,28 +8,29 @@
 from walkloom.frontends.quic.packet import PacketHeader
 from walkloom.transport.address import SocketAddress
 
-# Ids under which one connection is found. A server may give new ids without end; this bounds their memory.
+# Connection ids in the table per connection. A server may issue new ids without limit; this bounds the memory
+# that they take.
 MAX_IDS_PER_CONNECTION = 8
 
 
 class PacketReceiver(Protocol):
-    """What the table holds: a connection, as far as the frontend needs it.
+    """A connection in the table, as far as the frontend uses it.
 
-    It stands here so that neither the connection nor the frontend has to import the other.
+    The protocol avoids a circular import between this module and `connection`.
     """
 
     async def receive(self, header: PacketHeader, datagram: bytes, client_address: SocketAddress) -> None:
-        """Take one datagram from the client; header: of its first packet."""
+        """Process one datagram from the client; header: the header of its first packet."""
 
 
 class ConnectionTable:
     """The connections of one frontend.
 
-    Iteration gives the connection ids that are known.
+    Iteration yields the registered connection ids, and `len` is their number.
     """
 
     def __init__(self, max_connections: int) -> None:
-        """Begin empty; max_connections: how many may be open at one time."""
+        """Create an empty table; max_connections: how many connections may be open at a time."""
         self._max_connections = max_connections
         self._open_count = 0
         self._connections: dict[bytes, PacketReceiver] = {}
@@ -42,41 +43,41 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no further connection may be opened."""
+        """Whether the limit is reached, so that no further connection may be opened."""
         return self._open_count >= self._max_connections
 
     def reserve(self) -> None:
-        """Count a connection that is being opened."""
+        """Count a new connection against the limit."""
         self._open_count += 1
 
     def release(self) -> None:
-        """Count a connection out that has ended."""
+        """Stop counting a connection that has ended."""
         self._open_count -= 1
 
     def find(self, connection_id: bytes) -> PacketReceiver | None:
-        """Return the connection that is known under an id."""
+        """Return the connection with this connection id; None if there is none."""
         return self._connections.get(connection_id)
 
     def add(self, connection_id: bytes, connection: PacketReceiver) -> None:
-        """Find this connection under the id from now on."""
+        """Map a connection id to a connection."""
         self._connections[connection_id] = connection
 
     def remove(self, connection_id: bytes) -> None:
-        """Find no connection under the id any more; an unknown id is ignored."""
+        """Remove a connection id; an unknown id is ignored."""
         self._connections.pop(connection_id, None)
 
 
 class ConnectionIds:
-    """The ids under which the table finds one connection."""
+    """The connection ids of one connection, registered in the table."""
 
     def __init__(self, table: ConnectionTable, connection: PacketReceiver) -> None:
-        """Begin with no id."""
+        """Begin without a connection id."""
         self._table = table
         self._connection = connection
         self._ids: list[bytes] = []
 
-    def learn(self, connection_id: bytes) -> None:
-        """Enter one more id; empty or known ids, and those over the limit, are ignored."""
+    def register(self, connection_id: bytes) -> None:
+        """Add an id to the table; an empty or registered id, or one over the limit, is ignored."""
         if not connection_id or connection_id in self._ids:
             return
         if len(self._ids) < MAX_IDS_PER_CONNECTION:
@@ -84,6 +85,6 @@
             self._table.add(connection_id, self._connection)
 
     def remove_all(self) -> None:
-        """Take all ids out of the table, as the connection has ended."""
+        """Remove all ids of the connection from the table; to be called when it has ended."""
         for connection_id in self._ids:
             self._table.remove(connection_id)
--- a/walkloom/frontends/quic/drop_counters.py
+++ b/walkloom/frontends/quic/drop_counters.py
@@ -1,4 +1,4 @@
-"""Counts of what the frontend did not forward or send, and the log line about them."""
+"""Counters for packets that were not forwarded and migrations that were not sent, and their log line."""
 
 from __future__ import annotations
 
@@ -10,44 +10,45 @@
 
 log = logging.getLogger("walkloom")
 
-# Anyone can send datagrams that are dropped; a line in so many seconds cannot fill the log.
+# Minimum interval between log lines. Anyone can send datagrams that are dropped; the interval keeps them from
+# flooding the log.
 REPORT_INTERVAL_S = 10.0
 
 
 class DropReason(Enum):
-    """Why something was not forwarded or sent; the value is its word in the log."""
+    """Why a packet was not forwarded, or a migration not sent; the value is its name in the log."""
 
-    # A datagram that is no QUIC packet, or too short for a client's first Initial packet.
+    # A datagram that is not a QUIC packet, or is too short for a client's first Initial packet.
     MALFORMED = "malformed"
 
-    # A packet whose connection id names no server, and which opens no connection.
+    # A packet whose connection id names no server and that does not open a connection.
     UNROUTABLE = "unroutable"
 
-    # A packet of a new connection, while there are as many as the settings allow.
+    # A packet of a new connection while the maximum number of connections is open.
     TABLE_FULL = "table_full"
 
-    # A migration that the policy asked for: a balancer has no means to move a QUIC client.
+    # A migration that the policy requested. A balancer has no means to make a QUIC client migrate.
     MIGRATIONS_NOT_SENT = "migrations_not_sent"
 
 
 class DropCounters:
-    """Counts by reason, since the start."""
+    """Counts by reason since the frontend was created."""
 
     def __init__(self) -> None:
-        """Begin with no counts."""
+        """Create counters that are all zero."""
         self.counts: Counter[DropReason] = Counter()
 
     def count(self, reason: DropReason) -> None:
-        """Count one."""
+        """Increment the counter for a reason."""
         self.counts[reason] += 1
 
     def summary(self) -> str:
-        """Return all counts that are not zero as `reason=count`, by name."""
-        words = sorted(f"{reason.value}={count}" for reason, count in self.counts.items())
-        return " ".join(words)
+        """Return all non-zero counts as `reason=count`, sorted by reason."""
+        entries = sorted(f"{reason.value}={count}" for reason, count in self.counts.items())
+        return " ".join(entries)
 
     async def report(self) -> None:
-        """Log the counts at regular intervals where one has risen; runs until cancelled."""
+        """Log the counts at regular intervals if any has increased; runs until cancelled."""
         reported_total = 0
         while True:
             await trio.sleep(REPORT_INTERVAL_S)
--- a/walkloom/frontends/quic/errors.py
+++ b/walkloom/frontends/quic/errors.py
@@ -4,7 +4,7 @@
 ├── ConnectionIdError
 └── PacketError
 
-A settings file that cannot be used raises `walkloom.config.ConfigError`, as all configuration does.
+An invalid settings file raises `walkloom.config.ConfigError`, like all configuration.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 
 class ConnectionIdError(QuicFrontendError, ValueError):
-    """A connection id, or a format of connection ids, that the QUIC-LB draft does not allow.
+    """A connection id or connection id format that the QUIC-LB draft does not allow.
 
-    The text says what is allowed.
+    The message states what is allowed.
     """
 
 
 class PacketError(QuicFrontendError, ValueError):
-    """A datagram that is no QUIC packet, or an Initial packet that its keys do not open.
+    """A datagram that is not a QUIC packet, or an Initial packet that cannot be decrypted.
 
-    The text says what is wrong with it.
+    The message states what is wrong with it.
     """
--- a/walkloom/frontends/quic/frames.py
+++ b/walkloom/frontends/quic/frames.py
@@ -1,4 +1,4 @@
-"""The frames of Initial packets, as far as a balancer reads and writes them (RFC 9000, section 19)."""
+"""Frames of Initial packets, as far as a balancer parses and builds them (RFC 9000, section 19)."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from walkloom.frontends.quic.datagram_reader import DatagramReader
 
-# The error code with which a server refuses a connection (RFC 9000, section 20.1).
+# The transport error code for "the server refused to accept a new connection" (RFC 9000, section 20.1).
 CONNECTION_REFUSED = 0x02
 
-# Fields of an ACK frame between its type and its number of ranges: Largest Acknowledged and ACK Delay.
-_ACK_LEADING_FIELDS = 2
+# Fields of an ACK frame between its type and its ACK Range Count: Largest Acknowledged and ACK Delay.
+_ACK_FIELDS_BEFORE_RANGE_COUNT = 2
 
-# ECT0, ECT1 and ECN-CE counts.
+# Fields of the ECN counts of an ACK frame: ECT0, ECT1 and ECN-CE.
 _ECN_COUNT_FIELDS = 3
 
 
@@ -25,25 +25,25 @@
     ACK_ECN = 0x03
     CRYPTO = 0x06
 
-    # Of the transport; the type for an application's error cannot stand in an Initial packet.
+    # The type for transport errors; the type for application errors is not allowed in Initial packets.
     CONNECTION_CLOSE = 0x1C
 
 
 def build_connection_close(error_code: int) -> bytes:
-    """Return a CONNECTION_CLOSE frame that blames no frame and gives no reason (RFC 9000, section 19.19).
+    """Return a CONNECTION_CLOSE frame without a triggering frame type or reason (RFC 9000, section 19.19).
 
-    error_code: below 64, so that it takes a single octet.
+    error_code: below 64, because it is encoded in a single octet.
     """
-    blamed_frame_type = 0
+    triggering_frame_type = 0
     reason_length = 0
-    return bytes([FrameType.CONNECTION_CLOSE, error_code, blamed_frame_type, reason_length])
+    return bytes([FrameType.CONNECTION_CLOSE, error_code, triggering_frame_type, reason_length])
 
 
 def find_close_error_code(frames: bytes) -> int | None:
-    """Return the error code with which frames close the connection (RFC 9000, section 19.19).
+    """Return the error code of the first CONNECTION_CLOSE frame (RFC 9000, section 19.19).
 
-    None where they do not close it, or where a type comes first that no Initial packet may carry. Raises
-    PacketError for a frame that is cut off.
+    None where there is no such frame, or where it follows a frame type that Initial packets may not carry.
+    Raises PacketError for a truncated frame.
     """
     reader = DatagramReader(frames)
     while not reader.at_end:
@@ -51,26 +51,26 @@
         if frame_type == FrameType.CONNECTION_CLOSE:
             return reader.read_varint()
         if frame_type in (FrameType.ACK, FrameType.ACK_ECN):
-            _skip_ack(reader, has_ecn_counts=frame_type == FrameType.ACK_ECN)
+            _skip_ack_frame(reader, has_ecn_counts=frame_type == FrameType.ACK_ECN)
         elif frame_type == FrameType.CRYPTO:
-            _skip_crypto(reader)
+            _skip_crypto_frame(reader)
         elif frame_type not in (FrameType.PADDING, FrameType.PING):
             return None
     return None
 
 
-def _skip_ack(reader: DatagramReader, *, has_ecn_counts: bool) -> None:
-    """Read over the fields of an ACK frame (RFC 9000, section 19.3)."""
-    _skip_varints(reader, _ACK_LEADING_FIELDS)
+def _skip_ack_frame(reader: DatagramReader, *, has_ecn_counts: bool) -> None:
+    """Skip the fields of an ACK frame (RFC 9000, section 19.3)."""
+    _skip_varints(reader, _ACK_FIELDS_BEFORE_RANGE_COUNT)
     range_count = reader.read_varint()
-    # The first range is one number, each further one a gap and a length.
+    # The first range is one integer; each further range is two, a gap and a length.
     _skip_varints(reader, 1 + 2 * range_count)
     if has_ecn_counts:
         _skip_varints(reader, _ECN_COUNT_FIELDS)
 
 
-def _skip_crypto(reader: DatagramReader) -> None:
-    """Read over the fields of a CRYPTO frame: offset, length, data (RFC 9000, section 19.6)."""
+def _skip_crypto_frame(reader: DatagramReader) -> None:
+    """Skip the fields of a CRYPTO frame: offset, length, data (RFC 9000, section 19.6)."""
     _skip_varints(reader, 1)
     length = reader.read_varint()
     reader.skip(length)
--- a/walkloom/frontends/quic/frontend.py
+++ b/walkloom/frontends/quic/frontend.py
@@ -1,7 +1,7 @@
-"""The UDP side: reads the clients' datagrams and finds for each its connection, or its server.
+"""The UDP listener: reads client datagrams and routes each to its connection or server.
 
-No datagram and no connection may end the frontend: it drops and counts what it cannot use, and logs a fault
-of the program.
+No datagram and no connection may stop the frontend: it drops and counts datagrams that it cannot use, and
+logs unexpected exceptions.
 """
 
 from __future__ import annotations
@@ -36,38 +36,38 @@
 class QuicFrontend:
     """The QUIC frontend of one balancer.
 
-    Attributes that others read:
+    Public attributes:
 
-    - connections: the connection ids that are known.
-    - drop_counters: what was not forwarded, since the start.
+    - connections: the table of connections by connection id.
+    - drop_counters: counts of what was not forwarded or sent.
     """
 
-    def __init__(self, engine: Engine, conf: QuicConfig) -> None:
-        """Create the frontend; to be called inside a trio run."""
+    def __init__(self, engine: Engine, config: QuicConfig) -> None:
+        """Create the frontend and its socket; must be called inside a trio run."""
         self._engine = engine
-        self._conf = conf
-        self._endpoint_by_server_id = {endpoint.server_id: endpoint for endpoint in conf.endpoints}
-        self.connections = ConnectionTable(conf.max_connections)
+        self._config = config
+        self._endpoint_by_server_id = {endpoint.server_id: endpoint for endpoint in config.endpoints}
+        self.connections = ConnectionTable(config.max_connections)
         self.drop_counters = DropCounters()
         self._context = ConnectionContext(
             engine=engine,
-            endpoints={endpoint.endpoint_id: endpoint for endpoint in conf.endpoints},
-            connection_id_length=conf.connection_id_format.length,
-            table=self.connections,
+            endpoints={endpoint.endpoint_id: endpoint for endpoint in config.endpoints},
+            connection_id_length=config.connection_id_format.length,
+            connection_table=self.connections,
             drop_counters=self.drop_counters,
             send_to_client=self._send_to_client,
         )
         self._socket = trio.socket.socket(type=trio.socket.SOCK_DGRAM)
-        # Set by `run`; holds a task for each connection.
+        # Set by `run`; contains one task for each connection.
         self._nursery: trio.Nursery
 
     async def run(self, task_status: trio.TaskStatus[SocketAddress] = trio.TASK_STATUS_IGNORED) -> None:
-        """Serve until cancelled; reports the address that it listens on, with the port the system chose.
+        """Serve until cancelled; task_status reports the listening address with the actual port.
 
-        Raises OSError where it cannot listen.
+        Raises OSError where the socket cannot be bound.
         """
         with self._socket:
-            await self._socket.bind(self._conf.listen)
+            await self._socket.bind(self._config.listen)
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
                 nursery.start_soon(self.drop_counters.report)
@@ -82,57 +82,64 @@
         except PacketError:
             self.drop_counters.count(DropReason.MALFORMED)
         except Exception:
-            # Broad on purpose: whatever is wrong with one datagram, the next ones must be read.
+            # Deliberately broad: a fault with one datagram must not keep the next ones from being read.
             log.exception("quic_datagram_error")
 
     async def _route(self, datagram: bytes, client_address: SocketAddress) -> None:
-        """Pass a datagram to whom it belongs; raises PacketError."""
-        header = parse_header(datagram, self._conf.connection_id_format.length)
+        """Route a datagram to its connection, or open one; raises PacketError for a malformed datagram."""
+        header = parse_header(datagram, self._config.connection_id_format.length)
         connection = self.connections.find(header.destination_connection_id)
         if connection:
             await connection.receive(header, datagram, client_address)
         elif self.connections.is_full:
             self.drop_counters.count(DropReason.TABLE_FULL)
         elif endpoint := self._find_endpoint(header.destination_connection_id):
-            self._adopt(endpoint, header, datagram, client_address)
+            self._adopt_connection(endpoint, header, datagram, client_address)
         elif _needs_version_negotiation(header, datagram):
             await self._send_to_client(build_version_negotiation(header), client_address)
         elif header.packet_type is PacketType.INITIAL:
-            await self._accept(header, datagram, client_address)
+            await self._accept_connection(header, datagram, client_address)
         else:
             self.drop_counters.count(DropReason.UNROUTABLE)
 
     def _find_endpoint(self, connection_id: bytes) -> QuicEndpoint | None:
-        """Return the server that a connection id names."""
-        server_id = self._conf.connection_id_format.server_id(connection_id)
+        """Return the server that a connection id names; None if it names none."""
+        server_id = self._config.connection_id_format.decode_server_id(connection_id)
         if server_id is None:
             return None
         return self._endpoint_by_server_id.get(server_id)
 
-    def _adopt(
+    def _adopt_connection(
         self, endpoint: QuicEndpoint, header: PacketHeader, datagram: bytes, client_address: SocketAddress
     ) -> None:
-        """Take over a connection that another balancer placed; its id names the server."""
-        handle = self._engine.adopt(endpoint.endpoint_id, self._conf.request_class, tenant=self._conf.tenant)
+        """Adopt a connection that another balancer placed; its connection id names the server."""
+        handle = self._engine.adopt(
+            endpoint.endpoint_id, self._config.request_class, tenant=self._config.tenant
+        )
         connection = QuicConnection(self._context, handle, client_address)
-        connection.learn_connection_id(header.destination_connection_id)
+        connection.register_connection_id(header.destination_connection_id)
         self._start_connection(connection.serve_adopted, endpoint, header, datagram)
 
-    async def _accept(self, header: PacketHeader, datagram: bytes, client_address: SocketAddress) -> None:
-        """Take a client's first Initial packet as a request; raises PacketError where it is too short."""
-        has_dcid = len(header.destination_connection_id) >= MIN_CLIENT_DCID_BYTES
-        if len(datagram) < MIN_INITIAL_DATAGRAM_BYTES or not has_dcid:
-            raise PacketError("too short for a first Initial packet")
-        deadline_ms = self._engine.now() + self._conf.request_timeout_ms
-        handle = self._engine.submit(self._conf.request_class, deadline_ms, tenant=self._conf.tenant)
+    async def _accept_connection(
+        self, header: PacketHeader, datagram: bytes, client_address: SocketAddress
+    ) -> None:
+        """Submit a request for a client's first Initial packet.
+
+        Raises PacketError where the datagram or its destination connection id is too short.
+        """
+        has_valid_dcid_length = len(header.destination_connection_id) >= MIN_CLIENT_DCID_BYTES
+        if len(datagram) < MIN_INITIAL_DATAGRAM_BYTES or not has_valid_dcid_length:
+            raise PacketError("datagram or connection id too short for a first Initial packet")
+        deadline_ms = self._engine.now() + self._config.request_timeout_ms
+        handle = self._engine.submit(self._config.request_class, deadline_ms, tenant=self._config.tenant)
         connection = QuicConnection(self._context, handle, client_address)
-        connection.learn_connection_id(header.destination_connection_id)
+        connection.register_connection_id(header.destination_connection_id)
         await connection.receive(header, datagram, client_address)
         self._start_connection(connection.serve)
 
     def _start_connection(self, serve: Callable[..., Awaitable[None]], *args: object) -> None:
-        # Counted here and not in the task: many datagrams may be read before the task first runs, and each
-        # of them may open a connection.
+        # The place is reserved here and not in the task: many datagrams may be read before the task first
+        # runs, and each of them may open a connection.
         self.connections.reserve()
         self._nursery.start_soon(self._run_connection, serve, *args)
 
@@ -140,7 +147,7 @@
         try:
             await serve(*args)
         except Exception:
-            # Broad on purpose: a fault ends its own connection only.
+            # Deliberately broad: a fault must end only the connection in which it occurs.
             log.exception("quic_connection_crashed")
         finally:
             self.connections.release()
@@ -150,10 +157,10 @@
 
 
 def _needs_version_negotiation(header: PacketHeader, datagram: bytes) -> bool:
-    """Return whether a packet asks for a version that no server here speaks (RFC 9000, section 6.1).
+    """Return whether a packet has a version that the servers do not support (RFC 9000, section 6.1).
 
-    A Version Negotiation packet is never answered, and neither is a datagram that is too short for a first
-    Initial packet: a forged source address would get more than was sent.
+    A Version Negotiation packet is never answered. Neither is a datagram that is too short for a first
+    Initial packet: the answer to a spoofed source address could be larger than the datagram (amplification).
     """
     if header.packet_type is not PacketType.OTHER_VERSION or header.version == VERSION_NEGOTIATION:
         return False
--- a/walkloom/frontends/quic/handshake.py
+++ b/walkloom/frontends/quic/handshake.py
@@ -1,4 +1,4 @@
-"""The stage before a server has taken a connection: one attempt after another with the client's packets."""
+"""The stage before a server accepts the connection: attempts that forward the client's first packets."""
 
 from __future__ import annotations
 
@@ -20,98 +20,99 @@
 
 log = logging.getLogger("walkloom")
 
-# Datagrams of the client that are kept for the next attempt; this bounds the memory that one client can use
-# up.
-MAX_KEPT_DATAGRAMS = 8
+# Client datagrams that are buffered for further attempts; bounds the memory that one client can occupy.
+MAX_BUFFERED_DATAGRAMS = 8
 
-# Packets with which a server goes on with the handshake; a Retry does not yet (RFC 9000, section 8.1.2).
-ESTABLISHING_TYPES = (PacketType.INITIAL, PacketType.HANDSHAKE)
+# Packets that show that a server continues the handshake. A Retry does not: the server only validates the
+# client's address with it (RFC 9000, section 8.1.2).
+ESTABLISHING_PACKET_TYPES = (PacketType.INITIAL, PacketType.HANDSHAKE)
 
 
 class Handshake:
-    """The client's first packets, and the attempts to have a server take them.
+    """Buffers the client's first packets and forwards them, one attempt after another.
 
-    Attributes that others read:
+    Public attributes:
 
-    - client_address: the latest of the client; the server's answers go there.
+    - client_address: the client's latest address; the server's answers are sent there.
     """
 
     def __init__(self, state: ConnectionState, client_address: SocketAddress) -> None:
-        """Begin without a packet; client_address: where the first one comes from."""
+        """Begin without a datagram; client_address: the source of the first one."""
         self._state = state
         self.client_address = client_address
-        # Destination and source connection id of the client's newest first Initial packet. From the former
-        # come the keys of all Initial packets (RFC 9001, section 5.2).
+        # Destination and source connection id of the client's first Initial packet, or of its first one
+        # after a Retry. The Initial keys are derived from the former (RFC 9001, section 5.2).
         self._client_dcid = b""
         self._client_scid = b""
-        self._kept_datagrams: list[bytes] = []
+        self._buffered_datagrams: list[bytes] = []
 
     def add_client_datagram(
         self, header: PacketHeader, datagram: bytes, client_address: SocketAddress
     ) -> None:
-        """Keep a datagram of the client for further attempts."""
+        """Buffer a datagram of the client for further attempts."""
         self.client_address = client_address
         is_initial = header.packet_type is PacketType.INITIAL
         if is_initial and header.destination_connection_id != self._client_dcid:
-            # The first Initial packet, or the one with which the client answers a Retry: it begins anew.
+            # The first Initial packet, or the first one after a Retry, which restarts the handshake.
             self._client_dcid = header.destination_connection_id
             self._client_scid = header.source_connection_id
-            self._kept_datagrams = []
-        if len(self._kept_datagrams) < MAX_KEPT_DATAGRAMS:
-            self._kept_datagrams.append(datagram)
+            self._buffered_datagrams = []
+        if len(self._buffered_datagrams) < MAX_BUFFERED_DATAGRAMS:
+            self._buffered_datagrams.append(datagram)
 
     async def attempt(self, command: StartAttempt) -> AttemptStatus | None:
-        """Make one attempt at one server; return why it failed, or None once the server goes on with it.
+        """Try one server; return why the attempt failed, or None once the server continues the handshake.
 
-        The path to the server stays open on return, also after a failure.
+        The path to the server is still open on return, even after a failure.
         """
         handle = self._state.handle
         endpoint = self._state.context.endpoints.get(str(command.endpoint_id))
         if endpoint is None or not handle.may_start_sending():
             log.warning("quic_attempt_not_sent endpoint=%s request=%d", command.endpoint_id, handle.id)
             return AttemptStatus.NOT_SENT
-        attempt_ends_at_ms = handle.attempt_started_at + (command.timeout_ms or math.inf)
-        give_up_at_ms = min(attempt_ends_at_ms, handle.deadline)
-        timeout_ms = max(give_up_at_ms - self._state.context.engine.now(), 0.0)
+        attempt_deadline_ms = handle.attempt_started_at + (command.timeout_ms or math.inf)
+        deadline_ms = min(attempt_deadline_ms, handle.deadline)
+        timeout_ms = max(deadline_ms - self._state.context.engine.now(), 0.0)
         try:
             with trio.move_on_after(timeout_ms / 1000.0):
-                return await self._exchange(endpoint)
+                return await self._forward_until_answered(endpoint)
         except OSError:
-            # Mostly an ICMP error: nothing listens there.
+            # Usually an ICMP error: no socket is bound to the server's port.
             return AttemptStatus.CONNECT_FAILED
         return AttemptStatus.TIMED_OUT
 
-    async def _exchange(self, endpoint: QuicEndpoint) -> AttemptStatus | None:
-        """Send what was kept, and wait for the answer that decides the attempt; see `attempt`."""
+    async def _forward_until_answered(self, endpoint: QuicEndpoint) -> AttemptStatus | None:
+        """Forward the buffered datagrams until the server answers or refuses; return as `attempt` does."""
         sock = await self._state.paths.open(self.client_address, endpoint.address)
-        # What comes during this loop goes out twice, here and by `QuicConnection.receive`; as UDP may
-        # duplicate a datagram at any time, QUIC ignores the second one.
-        for datagram in self._kept_datagrams:
+        # A datagram that arrives during this loop is sent twice, here and by `QuicConnection.receive`. QUIC
+        # ignores the duplicate, because UDP may duplicate datagrams at any time.
+        for datagram in self._buffered_datagrams:
             await sock.send(datagram)
         while True:
             datagram = await sock.recv(MAX_DATAGRAM_BYTES)
             try:
                 header = parse_header(datagram, self._state.context.connection_id_length)
-                failure = self._find_refusal(header, datagram)
+                failure = self._get_attempt_failure(header, datagram)
             except PacketError:
-                # Damaged; the server sends it again.
+                # Corrupted; the server will retransmit.
                 continue
             if failure is not None:
                 return failure
             await self._forward_answer(header, datagram)
-            if header.packet_type in ESTABLISHING_TYPES:
+            if header.packet_type in ESTABLISHING_PACKET_TYPES:
                 self._state.activity.record_server_datagram()
                 self._state.handle.report_established()
                 return None
 
     async def _forward_answer(self, header: PacketHeader, datagram: bytes) -> None:
-        self._state.connection_ids.learn(header.source_connection_id)
+        self._state.connection_ids.register(header.source_connection_id)
         await self._state.context.send_to_client(datagram, self.client_address)
 
-    def _find_refusal(self, header: PacketHeader, datagram: bytes) -> AttemptStatus | None:
-        """Return how a server's packet ends the attempt, None where it does not (RFC 9000, section 10.2.3).
+    def _get_attempt_failure(self, header: PacketHeader, datagram: bytes) -> AttemptStatus | None:
+        """Return the failure that a server's packet means for the attempt (RFC 9000, section 10.2.3).
 
-        Raises PacketError for an Initial packet that does not open.
+        None where the packet does not close the connection. Raises PacketError for an Initial packet that
+        cannot be decrypted.
         """
         if header.packet_type is not PacketType.INITIAL:
             return None
@@ -124,5 +125,5 @@
         return AttemptStatus.ERROR
 
     def build_refusal(self) -> bytes:
-        """Return the datagram that refuses the client, which gets no server."""
+        """Return the datagram that rejects the client when no server has accepted the connection."""
         return build_refusal(self._client_dcid, self._client_scid, create_unroutable_connection_id())
--- a/walkloom/frontends/quic/initial_keys.py
+++ b/walkloom/frontends/quic/initial_keys.py
@@ -1,6 +1,6 @@
-"""The keys of Initial packets of version 1 (RFC 9001, section 5); needs the cryptography package.
+"""The Initial keys of version 1 (RFC 9001, section 5); needs the cryptography package.
 
-They come from a connection id that is sent in the clear, so that anyone on the path can derive them.
+They are derived from a connection id that is sent in the clear, so anyone on the path can derive them.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Sender(Enum):
-    """Who sends a packet; the value is the label of that side's secret (RFC 9001, section 5.2)."""
+    """The side that sends a packet; the value is the label of its secret (RFC 9001, section 5.2)."""
 
     CLIENT = b"client in"
     SERVER = b"server in"
@@ -33,9 +33,10 @@
 class InitialKeys:
     """The keys that protect the Initial packets of one side of a connection."""
 
-    # Of the AEAD.
+    # AEAD key.
     key: bytes
 
+    # AEAD initialization vector.
     iv: bytes
 
     # Header protection key.
@@ -43,7 +44,7 @@
 
     def header_protection_mask(self, sample: bytes) -> bytes:
         """Return the mask for a sample of 16 octets of the ciphertext (RFC 9001, section 5.4.3)."""
-        # ECB mode is what the RFC demands for this single block.
+        # The RFC specifies ECB mode for this single block.
         return Cipher(algorithms.AES(self.hp), modes.ECB()).encryptor().update(sample)
 
     def nonce(self, packet_number: int) -> bytes:
@@ -54,8 +55,8 @@
 def derive_initial_keys(client_dcid: bytes, sender: Sender) -> InitialKeys:
     """Derive the Initial keys of one side (RFC 9001, sections 5.1 and 5.2).
 
-    client_dcid: the destination connection id of the client's first Initial packet, or of its first after a
-    Retry.
+    client_dcid: the destination connection id of the client's first Initial packet, or of its first one after
+    a Retry.
     """
     # HKDF-Extract (RFC 5869, section 2.2).
     initial_secret = hmac.digest(INITIAL_SALT, client_dcid, HASH_NAME)
@@ -68,10 +69,10 @@
 
 
 def _hkdf_expand_label(secret: bytes, label: bytes, length: int) -> bytes:
-    """HKDF-Expand-Label with an empty context, at most 32 octets long (RFC 8446, section 7.1)."""
+    """Return HKDF-Expand-Label with an empty context, at most 32 octets (RFC 8446, section 7.1)."""
     full_label = b"tls13 " + label
     empty_context = b"\0"
     info = length.to_bytes(2) + bytes([len(full_label)]) + full_label + empty_context
-    # HKDF-Expand (RFC 5869, section 2.3): the first block, number 1, is as long as the hash.
+    # HKDF-Expand (RFC 5869, section 2.3): the first block, number 1, has the length of the hash.
     first_block = hmac.digest(secret, info + b"\x01", HASH_NAME)
     return first_block[:length]
--- a/walkloom/frontends/quic/initial_packet.py
+++ b/walkloom/frontends/quic/initial_packet.py
@@ -1,7 +1,7 @@
-"""Initial packets of version 1: their protection, and the one with which this balancer refuses a client.
+"""Initial packets of version 1: packet protection, and the packet with which a balancer rejects a client.
 
-Formats are in RFC 9000, section 17.2.2, the protection in RFC 9001, section 5.
-Needs the package cryptography.
+The format is defined in RFC 9000, section 17.2.2, the protection in RFC 9001, section 5. Needs the package
+cryptography.
 """
 
 from __future__ import annotations
@@ -24,26 +24,26 @@
     parse_header,
 )
 
-# What AEAD_AES_128_GCM adds to the plaintext (RFC 9001, section 5.3).
+# Length of the authentication tag that AEAD_AES_128_GCM appends (RFC 9001, section 5.3).
 AEAD_TAG_BYTES = 16
 
-# Where the sample for header protection begins, counted from the packet number (RFC 9001, section 5.4.2).
+# Offset of the header protection sample from the start of the packet number (RFC 9001, section 5.4.2).
 SAMPLE_OFFSET = 4
 SAMPLE_BYTES = 16
 
 # The bits of the first octet of a long header that are protected (RFC 9001, section 5.4.1).
 PROTECTED_BITS = 0x0F
 
-# The bits of the first octet that hold the length of the packet number, less one (RFC 9000, section 17.2).
+# The bits of the first octet with the length of the packet number, minus one (RFC 9000, section 17.2).
 PACKET_NUMBER_LENGTH_MASK = 0x03
 
-# The prefix of a variable-length integer of two octets (RFC 9000, section 16).
+# The length bits of a two-octet variable-length integer (RFC 9000, section 16).
 _VARINT_2_BYTES = 0x4000
 
-# Packets that are built here have a packet number of one octet.
+# Length of the packet number in packets that are built here.
 _PACKET_NUMBER_BYTES = 1
 
-# PADDING frames behind a refusal; more than header protection needs for its sample.
+# PADDING frames after the CONNECTION_CLOSE frame; more than header protection needs for its sample.
 _REFUSAL_PADDING_BYTES = 16
 
 
@@ -53,7 +53,7 @@
     """Return a protected Initial packet with an empty token (RFC 9000, section 17.2.2).
 
     dcid, scid: destination and source connection id. frames: at least three octets, which header protection
-    needs for its sample. packet_number: below 256, as it takes one octet.
+    needs for its sample. packet_number: below 256, because it is encoded in one octet.
     """
     length = _PACKET_NUMBER_BYTES + len(frames) + AEAD_TAG_BYTES
     token_length = 0
@@ -70,7 +70,7 @@
 
 
 def _protect_header(keys: InitialKeys, header: bytes, ciphertext: bytes) -> bytes:
-    """Apply header protection to a header that ends with its packet number (RFC 9001, section 5.4.1)."""
+    """Apply header protection to a header that ends with the packet number (RFC 9001, section 5.4.1)."""
     sample_start = SAMPLE_OFFSET - _PACKET_NUMBER_BYTES
     mask = keys.header_protection_mask(ciphertext[sample_start : sample_start + SAMPLE_BYTES])
     first_octet = header[0] ^ (mask[0] & PROTECTED_BITS)
@@ -79,37 +79,42 @@
 
 
 def decrypt_initial(keys: InitialKeys, datagram: bytes) -> bytes:
-    """Return the frames of the Initial packet that a datagram begins with (RFC 9001, sections 5.3 and 5.4).
+    """Return the frames of the Initial packet at the start of a datagram (RFC 9001, sections 5.3 and 5.4).
 
-    Raises PacketError where it is no Initial packet, or one that these keys do not open.
+    Raises PacketError where it is not an Initial packet, or cannot be decrypted with these keys.
     """
-    part = _locate_protected_part(datagram)
-    sample_start = part.packet_number_offset + SAMPLE_OFFSET
+    protected_part = _locate_protected_part(datagram)
+    sample_start = protected_part.packet_number_offset + SAMPLE_OFFSET
     mask = keys.header_protection_mask(datagram[sample_start : sample_start + SAMPLE_BYTES])
     first_octet = datagram[0] ^ (mask[0] & PROTECTED_BITS)
     packet_number_length = (first_octet & PACKET_NUMBER_LENGTH_MASK) + 1
-    payload_offset = part.packet_number_offset + packet_number_length
-    protected_number = datagram[part.packet_number_offset : payload_offset]
-    packet_number = bytes(octet ^ bits for octet, bits in zip(protected_number, mask[1:], strict=False))
-    header = bytes([first_octet]) + datagram[1 : part.packet_number_offset] + packet_number
+    payload_offset = protected_part.packet_number_offset + packet_number_length
+    protected_packet_number = datagram[protected_part.packet_number_offset : payload_offset]
+    packet_number = bytes(
+        octet ^ bits for octet, bits in zip(protected_packet_number, mask[1:], strict=False)
+    )
+    header = bytes([first_octet]) + datagram[1 : protected_part.packet_number_offset] + packet_number
     nonce = keys.nonce(int.from_bytes(packet_number))
     try:
-        return AESGCM(keys.key).decrypt(nonce, datagram[payload_offset : part.end], header)
+        return AESGCM(keys.key).decrypt(nonce, datagram[payload_offset : protected_part.end], header)
     except InvalidTag as error:
-        raise PacketError("Initial packet does not open with these keys") from error
+        raise PacketError("Initial packet cannot be decrypted with these keys") from error
 
 
 @dataclass(frozen=True, slots=True)
 class _ProtectedPart:
-    """Where the protected part of an Initial packet stands in its datagram: offsets in octets."""
+    """Location of an Initial packet's protected part in its datagram; offsets in octets."""
 
     packet_number_offset: int
     end: int
 
 
 def _locate_protected_part(datagram: bytes) -> _ProtectedPart:
-    """Return where the packet number begins and the packet ends (RFC 9000, section 17.2.2)."""
-    # No length for short headers: one is no Initial packet in any case.
+    """Return the offsets of the packet number and of the packet's end (RFC 9000, section 17.2.2).
+
+    Raises PacketError where the datagram does not begin with a complete Initial packet.
+    """
+    # The connection id length for short headers does not matter: a short header is never an Initial packet.
     packet = parse_header(datagram, short_header_dcid_length=0)
     if packet.packet_type is not PacketType.INITIAL:
         raise PacketError("not an Initial packet")
@@ -119,15 +124,15 @@
     length = reader.read_varint()
     end = reader.position + length
     if end > len(datagram) or length < SAMPLE_OFFSET + SAMPLE_BYTES:
-        raise PacketError("Initial packet cut off")
+        raise PacketError("Initial packet truncated")
     return _ProtectedPart(packet_number_offset=reader.position, end=end)
 
 
 def build_refusal(client_dcid: bytes, client_scid: bytes, own_scid: bytes) -> bytes:
     """Return a server's Initial packet that closes with CONNECTION_REFUSED (RFC 9000, section 10.2.3).
 
-    QUIC has no field for a time after which the client may come back. client_dcid: as for
-    `derive_initial_keys`. client_scid: the client's own connection id. own_scid: the sender's.
+    QUIC has no field for a retry-after time. client_dcid: as in `derive_initial_keys`. client_scid: the
+    client's source connection id. own_scid: the source connection id of the packet.
     """
     keys = derive_initial_keys(client_dcid, Sender.SERVER)
     frames = build_connection_close(CONNECTION_REFUSED) + bytes(_REFUSAL_PADDING_BYTES)
--- a/walkloom/frontends/quic/packet.py
+++ b/walkloom/frontends/quic/packet.py
@@ -1,6 +1,6 @@
-"""Packet headers, as far as a balancer reads them.
+"""Packet headers, as far as a balancer parses them.
 
-The invariants of all versions are in RFC 8999; the packet types of version 1 in RFC 9000, section 17.
+RFC 8999 defines the invariants of all versions; RFC 9000, section 17, defines the packet types of version 1.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 # The version number that marks a Version Negotiation packet (RFC 8999, section 6).
 VERSION_NEGOTIATION = 0
 
-# A datagram that carries a client's Initial packet is at least so long (RFC 9000, section 14.1).
+# Minimum size of a datagram that carries a client's Initial packet (RFC 9000, section 14.1).
 MIN_INITIAL_DATAGRAM_BYTES = 1200
 
-# The destination connection id that a client invents is at least so long (RFC 9000, section 7.2).
+# Minimum length of the destination connection id that a client chooses (RFC 9000, section 7.2).
 MIN_CLIENT_DCID_BYTES = 8
 
-# Version 1 allows no longer connection id (RFC 9000, section 17.2).
+# Maximum length of a connection id in version 1 (RFC 9000, section 17.2).
 MAX_CONNECTION_ID_BYTES = 20
 
-# The largest payload that a UDP datagram can have, rounded up; nothing is cut off on receipt.
+# The maximum UDP payload, rounded up, so that no received datagram is truncated.
 MAX_DATAGRAM_BYTES = 65_535
 
 # Bits of the first octet (RFC 9000, sections 17.2 and 17.3.1).
@@ -35,7 +35,7 @@
 LONG_PACKET_TYPE_SHIFT = 4
 LONG_PACKET_TYPE_MASK = 0x03
 
-# Where the fields of a long header stand (RFC 8999, section 5.1).
+# Offsets of the fields of a long header (RFC 8999, section 5.1).
 _VERSION_OFFSET = 1
 _DCID_LENGTH_OFFSET = 5
 
@@ -44,7 +44,7 @@
 
 
 class PacketType(IntEnum):
-    """The type of a packet; the first four are the codes of a long header (RFC 9000, section 17.2)."""
+    """The type of a packet; the first four values are those of a long header (RFC 9000, section 17.2)."""
 
     INITIAL = 0
     ZERO_RTT = 1
@@ -64,23 +64,23 @@
 
     packet_type: PacketType
 
-    # Of a short header, which has no version field: version 1.
+    # Version 1 for a short header, which has no version field.
     version: int
 
     destination_connection_id: bytes
 
-    # Empty in a short header, which has none.
+    # Empty for a short header, which has no such field.
     source_connection_id: bytes
 
-    # Offset of what follows the connection ids.
+    # Offset of the first octet after the connection ids.
     payload_offset: int
 
 
 def parse_header(datagram: bytes, short_header_dcid_length: int) -> PacketHeader:
     """Parse the header of the first packet of a datagram.
 
-    A short header does not say how long its connection id is; short_header_dcid_length is the length of the
-    ids that the receiver of the datagram has given out. Raises PacketError.
+    A short header does not contain the length of its connection id. short_header_dcid_length is the length of
+    the ids that the receiver of the datagram issues. Raises PacketError for a malformed header.
     """
     if not datagram:
         raise PacketError("empty")
@@ -92,7 +92,7 @@
 def _parse_short_header(datagram: bytes, dcid_length: int) -> PacketHeader:
     """Parse a 1-RTT packet's header (RFC 8999, section 5.2; RFC 9000, section 17.3.1)."""
     if len(datagram) <= dcid_length or not datagram[0] & FIXED_BIT:
-        raise PacketError("short header cut off or without its fixed bit")
+        raise PacketError("short header truncated or fixed bit not set")
     end = _SHORT_DCID_OFFSET + dcid_length
     return PacketHeader(
         packet_type=PacketType.ONE_RTT,
@@ -123,24 +123,24 @@
 
 
 def _long_packet_type(first_octet: int, dcid: bytes, scid: bytes) -> PacketType:
-    """Return the type of a version 1 long header, and check what version 1 demands of it."""
+    """Return the packet type of a version 1 long header; raises PacketError for an invalid header."""
     if not first_octet & FIXED_BIT:
-        raise PacketError("long header without its fixed bit")
+        raise PacketError("long header with fixed bit not set")
     if max(len(dcid), len(scid)) > MAX_CONNECTION_ID_BYTES:
-        raise PacketError(f"connection id over {MAX_CONNECTION_ID_BYTES} bytes")
+        raise PacketError(f"connection id longer than {MAX_CONNECTION_ID_BYTES} bytes")
     return PacketType(first_octet >> LONG_PACKET_TYPE_SHIFT & LONG_PACKET_TYPE_MASK)
 
 
 def encode_connection_ids(dcid: bytes, scid: bytes) -> bytes:
-    """Return both connection ids of a long header, each behind its length (RFC 8999, section 5.1)."""
+    """Return both connection ids of a long header, each preceded by its length (RFC 8999, section 5.1)."""
     return bytes([len(dcid)]) + dcid + bytes([len(scid)]) + scid
 
 
 def build_version_negotiation(received: PacketHeader) -> bytes:
     """Return the Version Negotiation packet that answers a packet of another version.
 
-    It has the received connection ids swapped, and offers version 1 (RFC 8999, section 6; RFC 9000, section
-    17.2.1).
+    It contains the received connection ids in swapped order and offers version 1 (RFC 8999, section 6;
+    RFC 9000, section 17.2.1).
     """
     first_octet = bytes([HEADER_FORM_BIT | FIXED_BIT])
     connection_ids = encode_connection_ids(
--- a/walkloom/frontends/quic/relay.py
+++ b/walkloom/frontends/quic/relay.py
@@ -1,4 +1,4 @@
-"""The stage after a server has taken a connection: packets pass in both directions until it has ended."""
+"""The stage after a server has accepted the connection: forwards packets until the connection has ended."""
 
 from __future__ import annotations
 
@@ -16,15 +16,18 @@
 
 log = logging.getLogger("walkloom")
 
-# How often the relay looks whether its connection has ended; short against the limits in `activity`.
-END_CHECK_S = 0.25
+# Interval between checks whether the connection has ended; short compared to the timeouts in `activity`.
+END_CHECK_INTERVAL_S = 0.25
 
 
 class Relay:
-    """Passes the server's packets to the client; those of the client come by `QuicConnection.receive`."""
+    """Forwards the server's packets to the client.
+
+    The client's packets are forwarded by `QuicConnection.receive`.
+    """
 
     def __init__(self, state: ConnectionState) -> None:
-        """Create the relay; `run` starts it."""
+        """Create the relay; `run` starts forwarding."""
         self._state = state
         # None before `run`.
         self._nursery: trio.Nursery | None = None
@@ -33,17 +36,17 @@
 
     @property
     def has_started(self) -> bool:
-        """Whether `run` has been called, so that paths may be added."""
+        """Whether `run` has started, so that paths may be added."""
         return self._nursery is not None
 
     async def run(self) -> None:
-        """Relay until the connection has ended, and report to the engine how it did."""
+        """Forward until the connection has ended, and report its final status to the engine."""
         status = AttemptStatus.CANCELLED
         try:
             async with trio.open_nursery() as self._nursery:
                 for client_address, sock in self._state.paths.items():
                     self._nursery.start_soon(self._relay_to_client, sock, client_address)
-                self._nursery.start_soon(self._receive_commands)
+                self._nursery.start_soon(self._handle_commands)
                 status = await self._wait_until_ended()
                 self._nursery.cancel_scope.cancel()
         finally:
@@ -52,45 +55,45 @@
     async def add_path(self, client_address: SocketAddress) -> None:
         """Open a path for a new address of the client (RFC 9000, section 9); raises OSError.
 
-        Its packets go to the same server on.
+        The connection stays at the same server.
         """
         handle = self._state.handle
         endpoint = self._state.context.endpoints[str(handle.endpoint_id)]
-        self._state.paths.make_room()
+        self._state.paths.close_oldest_if_full()
         sock = await self._state.paths.open(client_address, endpoint.address)
         log.info("quic_address_changed request=%d endpoint=%s", handle.id, endpoint.endpoint_id)
         if self._nursery:
             self._nursery.start_soon(self._relay_to_client, sock, client_address)
 
     async def _relay_to_client(self, sock: trio.socket.SocketType, client_address: SocketAddress) -> None:
-        """Pass on what the server sends on one path, until that is closed or refused."""
+        """Forward the server's datagrams on one path until the path is closed or fails."""
         while True:
             try:
                 datagram = await sock.recv(MAX_DATAGRAM_BYTES)
             except trio.ClosedResourceError:
-                # The path gave way to a newer one.
+                # The path was closed in favour of a newer one.
                 return
             except OSError:
-                # An ICMP error: the server's process is gone. It counts only on a path that is in use.
+                # An ICMP error: the server's process no longer runs. It counts only on a path that is in use.
                 if self._state.paths.find(client_address) is sock:
                     self._server_lost = True
                 return
             self._state.activity.record_server_datagram()
-            self._learn_connection_id(datagram)
+            self._register_connection_id(datagram)
             with suppress(OSError):
                 await self._state.context.send_to_client(datagram, client_address)
 
-    def _learn_connection_id(self, datagram: bytes) -> None:
-        """Enter the id that the server has chosen, which long headers carry as their source."""
+    def _register_connection_id(self, datagram: bytes) -> None:
+        """Register the id that the server has chosen: the source connection id of its long headers."""
         with suppress(PacketError):
             header = parse_header(datagram, self._state.context.connection_id_length)
-            self._state.connection_ids.learn(header.source_connection_id)
+            self._state.connection_ids.register(header.source_connection_id)
 
-    async def _receive_commands(self) -> None:
-        """Count the migrations that the policy asks for; runs until cancelled.
+    async def _handle_commands(self) -> None:
+        """Count the migrations that the policy requests; runs until cancelled.
 
-        A balancer cannot make a QUIC client move. When this balancer itself shuts down, it ends the relay:
-        the others forward the connection by its id.
+        A balancer cannot make a QUIC client migrate. When this balancer itself shuts down, it ends the relay,
+        because the other balancers can forward the connection by its connection id.
         """
         while True:
             await self._state.handle.next_command()
@@ -98,10 +101,10 @@
             self._state.context.drop_counters.count(DropReason.MIGRATIONS_NOT_SENT)
 
     async def _wait_until_ended(self) -> AttemptStatus:
-        """Return how the connection ended; see `activity` for how that shows."""
+        """Wait until the connection has ended and return its status; `activity` infers the end."""
         activity = self._state.activity
         while not self._server_lost:
-            await trio.sleep(END_CHECK_S)
+            await trio.sleep(END_CHECK_INTERVAL_S)
             now = trio.current_time()
             if self._shutting_down:
                 return AttemptStatus.CANCELLED
--- a/walkloom/frontends/quic/settings.py
+++ b/walkloom/frontends/quic/settings.py
@@ -1,6 +1,6 @@
-"""The operator's file of this frontend, `deploy/quic.toml`.
+"""Reads the settings file of the QUIC frontend, `deploy/quic.toml`.
 
-It says where the frontend listens, how the connection ids are formed, and which servers stand behind them.
+The file defines the listening address, the format of the connection ids, and the servers with their ids.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QuicEndpoint:
-    """One server as QUIC reaches it; a line of the file's table `servers`."""
+    """The QUIC address and server id of one endpoint; an entry of the file's table `servers`."""
 
-    # As discovery names it; the line's key.
+    # The endpoint's id in discovery; the key of the entry.
     endpoint_id: str
 
-    # As its connection ids name it; key `id`.
+    # The server id in its connection ids; key `id`.
     server_id: bytes
 
     # Host and UDP port; key `address`.
@@ -40,16 +40,17 @@
     # Keys `config_id`, `server_id_length` and `nonce_length`.
     connection_id_format: ConnectionIdFormat
 
-    # Class of all requests, by its index in the settings; key `class`.
+    # Class of all requests, as an index into the classes of the balancer's settings; key `class`.
     request_class: int
 
-    # Tenant of all requests, by its index in the settings; key `tenant`.
+    # Tenant of all requests, as an index into the tenants of the balancer's settings; key `tenant`.
     tenant: int
 
-    # How long a client may wait until a server has taken its connection; key `patience_ms`.
+    # Time from a client's first Initial packet until a server must have accepted the connection; key
+    # `patience_ms`.
     request_timeout_ms: float
 
-    # Connections at one time, each of which holds a descriptor; key `connections`.
+    # Maximum number of open connections, each of which holds a descriptor; key `connections`.
     max_connections: int
 
     # The table `servers`.
@@ -57,9 +58,10 @@
 
 
 def load(path: Path, names: SettingNames) -> QuicConfig | None:
-    """Read the file; None where it is not there, by which the frontend is off.
+    """Read the settings file; None where it does not exist, which turns the frontend off.
 
-    names: what the file's class and tenant are looked up in. Raises ConfigError.
+    names: the classes and tenants of the balancer's settings, in which those of the file are looked up.
+    Raises ConfigError for a file that is unreadable or invalid.
     """
     if not path.exists():
         return None
@@ -72,16 +74,16 @@
 
 
 def _parse(data: Mapping[str, Any], names: SettingNames) -> QuicConfig:
-    """Translate the keys of the file; what is wrong raises KeyError, ValueError, TypeError or AttributeError.
+    """Translate the keys of the file; raises KeyError, ValueError, TypeError or AttributeError for bad data.
 
-    The order of the keys decides which of several errors the operator sees first.
+    The order in which the keys are read decides which of several errors is reported.
     """
     connection_id_format = ConnectionIdFormat(
         config_id=data["config_id"],
         server_id_length=data["server_id_length"],
         nonce_length=data["nonce_length"],
     )
-    endpoints = tuple(_parse_endpoint(name, line) for name, line in data["servers"].items())
+    endpoints = tuple(_parse_endpoint(name, entry) for name, entry in data["servers"].items())
     _check_server_ids(endpoints, connection_id_format)
     return QuicConfig(
         listen=address(data["listen"]),
@@ -94,17 +96,17 @@
     )
 
 
-def _parse_endpoint(name: str, line: Mapping[str, Any]) -> QuicEndpoint:
+def _parse_endpoint(name: str, entry: Mapping[str, Any]) -> QuicEndpoint:
     return QuicEndpoint(
-        endpoint_id=name, server_id=bytes.fromhex(line["id"]), address=address(line["address"])
+        endpoint_id=name, server_id=bytes.fromhex(entry["id"]), address=address(entry["address"])
     )
 
 
 def _check_server_ids(endpoints: tuple[QuicEndpoint, ...], connection_id_format: ConnectionIdFormat) -> None:
-    """Raise ValueError where two servers share an id, or one has another length than the format's."""
+    """Raise ValueError where two servers share a server id, or an id does not have the format's length."""
     server_ids = {endpoint.server_id for endpoint in endpoints}
     has_wrong_length = any(
         len(server_id) != connection_id_format.server_id_length for server_id in server_ids
     )
     if has_wrong_length or len(server_ids) < len(endpoints):
-        raise ValueError("every server needs an id of its own, of server_id_length bytes")
+        raise ValueError("every server needs an id of its own with a length of server_id_length bytes")
