--- a/tests/characterisation/quic_adapter.py
+++ b/tests/characterisation/quic_adapter.py
@@ -1,4 +1,7 @@
-"""Every name of the program that the characterisation of the QUIC front uses, and the neutral words."""
+"""Adapter between the QUIC characterisation tests and the program: all program names that they use.
+
+The words in the records are independent of the program's names, so that a rename does not change a digest.
+"""
 
 from __future__ import annotations
 
@@ -30,31 +33,31 @@
     PacketType.OTHER_VERSION: "other",
 }
 SENDERS = {"client": Sender.CLIENT, "server": Sender.SERVER}
-DROPS = {
+DROP_REASONS = {
     DropReason.MALFORMED: "broken",
     DropReason.UNROUTABLE: "stray",
     DropReason.TABLE_FULL: "full",
     DropReason.MIGRATIONS_NOT_SENT: "untold",
 }
-LISTED = {"up": Lifecycle.READY, "draining": Lifecycle.DRAINING, "gone": Lifecycle.REMOVED}
+LIFECYCLES = {"up": Lifecycle.READY, "draining": Lifecycle.DRAINING, "gone": Lifecycle.REMOVED}
 Outcome = tuple[object, ...]
 
 
-def _outcome(do: Callable[[], object]) -> Outcome:
-    """What a call gave, or which kind of error it raised."""
+def _capture(call: Callable[[], object]) -> Outcome:
+    """Return the result of a call, or the kind of error that it raised."""
     try:
-        return ("gave", do())
+        return ("gave", call())
     except PacketError:
         return ("broken",)
     except ConnectionIdError:
         return ("invalid",)
 
 
-def parsed(data: bytes, id_length: int) -> Outcome:
-    """The fields of a datagram's first packet."""
+def parse_first_header(datagram: bytes, short_header_dcid_length: int) -> Outcome:
+    """Return the header fields of a datagram's first packet."""
 
-    def fields() -> Outcome:
-        header = parse_header(data, id_length)
+    def get_fields() -> Outcome:
+        header = parse_header(datagram, short_header_dcid_length)
         return (
             PACKET_TYPES[header.packet_type],
             header.version,
@@ -63,96 +66,106 @@
             header.payload_offset,
         )
 
-    return _outcome(fields)
+    return _capture(get_fields)
 
 
-def number_at(data: bytes, at: int) -> Outcome:
-    """The number of variable length at a place, and where it ends."""
-    reader = DatagramReader(data, at)
-    return _outcome(lambda: (reader.read_varint(), reader.position))
+def read_varint(datagram: bytes, offset: int) -> Outcome:
+    """Return the variable-length integer at an offset, and the offset of its end."""
+    reader = DatagramReader(datagram, offset)
+    return _capture(lambda: (reader.read_varint(), reader.position))
 
 
-def other_version(data: bytes) -> Outcome:
-    """The answer to a packet of another version."""
-    return _outcome(lambda: build_version_negotiation(parse_header(data, 0)))
+def negotiate_version(datagram: bytes) -> Outcome:
+    """Return the Version Negotiation packet that answers a datagram."""
+    return _capture(lambda: build_version_negotiation(parse_header(datagram, 0)))
 
 
-def id_made(form: tuple[int, int, int], server: bytes, nonce: bytes) -> Outcome:
-    """An id of a form."""
-    return _outcome(lambda: ConnectionIdFormat(*form).encode(server, nonce))
+def encode_connection_id(id_format: tuple[int, int, int], server_id: bytes, nonce: bytes) -> Outcome:
+    """Return a connection id of a format."""
+    return _capture(lambda: ConnectionIdFormat(*id_format).encode(server_id, nonce))
 
 
-def id_read(form: tuple[int, int, int], cid: bytes) -> Outcome:
-    """The server within an id, and the length of ids of the form."""
-    return _outcome(
-        lambda: (ConnectionIdFormat(*form).decode_server_id(cid), ConnectionIdFormat(*form).length)
+def decode_connection_id(id_format: tuple[int, int, int], connection_id: bytes) -> Outcome:
+    """Return the server id in a connection id, and the length of ids of the format."""
+    return _capture(
+        lambda: (
+            ConnectionIdFormat(*id_format).decode_server_id(connection_id),
+            ConnectionIdFormat(*id_format).length,
+        )
     )
 
 
-def key_fields(first: bytes, side: str) -> Outcome:
-    """The keys of one side."""
-    keys = derive_initial_keys(first, SENDERS[side])
+def derive_keys(client_dcid: bytes, sender: str) -> Outcome:
+    """Return the Initial keys of one side."""
+    keys = derive_initial_keys(client_dcid, SENDERS[sender])
     return (keys.key, keys.iv, keys.hp)
 
 
-def sealed(first: bytes, side: str, to: bytes, own: bytes, frames: bytes, number: int = 0) -> bytes:
-    """An Initial packet."""
-    return encrypt_initial(derive_initial_keys(first, SENDERS[side]), to, own, frames, number)
+def encrypt(
+    client_dcid: bytes, sender: str, dcid: bytes, scid: bytes, frames: bytes, packet_number: int = 0
+) -> bytes:
+    """Return a protected Initial packet."""
+    return encrypt_initial(
+        derive_initial_keys(client_dcid, SENDERS[sender]), dcid, scid, frames, packet_number
+    )
 
 
-def unsealed(first: bytes, side: str, data: bytes) -> Outcome:
-    """The frames of an Initial packet."""
-    return _outcome(lambda: decrypt_initial(derive_initial_keys(first, SENDERS[side]), data))
+def decrypt(client_dcid: bytes, sender: str, datagram: bytes) -> Outcome:
+    """Return the frames of an Initial packet."""
+    return _capture(lambda: decrypt_initial(derive_initial_keys(client_dcid, SENDERS[sender]), datagram))
 
 
-def refused(first: bytes, client: bytes, own: bytes) -> bytes:
-    """The packet that refuses a client."""
-    return build_refusal(first, client, own)
+def build_rejection(client_dcid: bytes, client_scid: bytes, own_scid: bytes) -> bytes:
+    """Return the packet that rejects a client."""
+    return build_refusal(client_dcid, client_scid, own_scid)
 
 
-def closing(frames: bytes) -> Outcome:
-    """The code with which frames close a connection."""
-    return _outcome(lambda: find_close_error_code(frames))
+def find_close_code(frames: bytes) -> Outcome:
+    """Return the error code with which frames close a connection."""
+    return _capture(lambda: find_close_error_code(frames))
 
 
-class Front:
-    """The front over an engine of its own; made inside a trio run, whose sockets are the test's."""
+class Frontend:
+    """A QUIC frontend with an engine of its own; to be created inside a trio run with the test's sockets."""
 
     def __init__(
         self,
-        form: tuple[int, int, int],
+        id_format: tuple[int, int, int],
         servers: dict[str, tuple[bytes, tuple[str, int]]],
         listen: tuple[str, int],
-        connections: int,
+        max_connections: int,
     ) -> None:
         with patch("time.time", lambda: 1.7e9):
             self._engine = Engine(
                 settings(max_attempts=2, max_retry_after_ms=1500.0, drain_grace_ms=500.0), 1
             )
         self._servers = tuple(servers)
-        endpoints = tuple(QuicEndpoint(name, cid, address) for name, (cid, address) in servers.items())
+        endpoints = tuple(
+            QuicEndpoint(name, server_id, address) for name, (server_id, address) in servers.items()
+        )
         self._frontend = QuicFrontend(
-            self._engine, QuicConfig(listen, ConnectionIdFormat(*form), 0, 0, 2000.0, connections, endpoints)
+            self._engine,
+            QuicConfig(listen, ConnectionIdFormat(*id_format), 0, 0, 2000.0, max_connections, endpoints),
         )
 
-    async def begin(self, nursery: trio.Nursery) -> None:
-        """Starts the engine's and the frontend's tasks."""
+    async def start(self, nursery: trio.Nursery) -> None:
+        """Start the tasks of the engine and of the frontend."""
         nursery.start_soon(self._engine.run_timers)
         nursery.start_soon(self._engine.run_latency_monitor)
         await nursery.start(self._frontend.run)
 
-    def listed(self, word: str) -> None:
-        """Every server is listed so."""
-        lines = tuple(Endpoint(name, lifecycle=LISTED[word]) for name in self._servers)
-        self._engine.endpoint_list_received(UpdateKind.SNAPSHOT, lines)
+    def list_servers(self, state: str) -> None:
+        """Deliver an endpoint list in which every server has this state."""
+        endpoints = tuple(Endpoint(name, lifecycle=LIFECYCLES[state]) for name in self._servers)
+        self._engine.endpoint_list_received(UpdateKind.SNAPSHOT, endpoints)
 
-    async def leave(self) -> None:
-        """The balancer begins to stop."""
+    async def migrate_connections(self) -> None:
+        """Migrate all connections, as at the start of the balancer's shutdown."""
         await self._engine.migrate_connections(0.5, 1.5)
 
-    def left_behind(self) -> Outcome:
-        """What was dropped, the ids that are known, and how many requests are open."""
+    def get_remaining_state(self) -> Outcome:
+        """Return the drop counts, the registered connection ids, and the number of open requests."""
         dropped = sorted(
-            (DROPS[reason], count) for reason, count in self._frontend.drop_counters.counts.items()
+            (DROP_REASONS[reason], count) for reason, count in self._frontend.drop_counters.counts.items()
         )
         return (*dropped, *sorted(self._frontend.connections), self._engine.open_requests)
