--- a/tests/soak_plants/plants.py
+++ b/tests/soak_plants/plants.py
@@ -84,8 +84,8 @@
     Plant(
         "an attempt more than is allowed",
         "config.py",
-        "        max_stall_ms=MAX_HOLD_UP_MS,\n",
-        "        max_stall_ms=MAX_HOLD_UP_MS,\n        max_attempts=5,\n",
+        "        max_stall_ms=MAX_STALL_MS,\n",
+        "        max_stall_ms=MAX_STALL_MS,\n        max_attempts=5,\n",
     ),
     Plant(
         "a client that leaves is not noticed",
@@ -99,7 +99,12 @@
         "        is_moved = self._is_migrating or ended_by_shutdown\n",
         "        is_moved = False\n",
     ),
-    Plant("a shutdown reckons with a later SIGKILL", "shutdown.py", "KILL_S = 0.7", "KILL_S = 3.0"),
+    Plant(
+        "a shutdown reckons with a later SIGKILL",
+        "shutdown.py",
+        "SIGKILL_DELAY_S = 0.7",
+        "SIGKILL_DELAY_S = 3.0",
+    ),
     Plant(
         "the clock is read from the wall",
         "engine/engine.py",
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -225,7 +225,7 @@
         kind = rng.choice([UpdateKind.INCREMENTAL, UpdateKind.SNAPSHOT, None])
         if kind is None:
             for handle in [handle for handle in engine._handles.values() if handle.is_established]:
-                engine._act(MigrateConnection(handle.id))
+                engine._execute(MigrateConnection(handle.id))
         elif kind is UpdateKind.SNAPSHOT:
             engine.endpoint_list_received(kind, [Endpoint(name) for name in SERVER_NAMES])
         else:
--- a/tests/test_rare.py
+++ b/tests/test_rare.py
@@ -30,7 +30,7 @@
 from walkloom.load_reports.poller import LoadReportPoller
 from walkloom.messages import EndpointId, Idempotency, MigrateConnection, RequestClass
 from walkloom.server import BalancerServer
-from walkloom.shutdown import KILL_LONGEST_S, KILL_S, ShutdownSchedule
+from walkloom.shutdown import MAX_COUNTED_DEADLINE_S, SIGKILL_DELAY_S, ShutdownSchedule
 from walkloom.transport.line_stream import open_line_stream
 
 NOT_IDEMPOTENT = (RequestClass(latency_objective_ms=500.0, idempotency=Idempotency.NOT_IDEMPOTENT),)
@@ -83,7 +83,7 @@
             await server.shut_down()
             process_scope.cancel()
             await exited.wait()
-            sigkill_after_s = min(longest_deadline_ms / 1000.0, KILL_LONGEST_S) + KILL_S
+            sigkill_after_s = min(longest_deadline_ms / 1000.0, MAX_COUNTED_DEADLINE_S) + SIGKILL_DELAY_S
             assert trio.current_time() - terminated_at_s < sigkill_after_s, "still running at SIGKILL"
 
         async def dial(_client: str) -> LinePeer:
@@ -105,13 +105,13 @@
     longest_deadline_ms: float,
 ) -> None:
     """SIGKILL comes 0.7 s after the longest deadline, which counts as 3 s where it is longer."""
-    schedule = ShutdownSchedule.of(longest_deadline_ms)
+    schedule = ShutdownSchedule.for_longest_deadline(longest_deadline_ms)
     sigkill_after_s = min(longest_deadline_ms / 1000.0, 3.0) + 0.7
-    migrate_until = schedule.migrate_from + schedule.migrate_for
-    assert 0.0 < schedule.migrate_from < migrate_until
-    assert migrate_until < schedule.answer_by < schedule.exit_by < sigkill_after_s
+    migrate_until = schedule.migration_starts_after_s + schedule.migration_duration_s
+    assert 0.0 < schedule.migration_starts_after_s < migrate_until
+    assert migrate_until < schedule.final_answers_after_s < schedule.process_ends_after_s < sigkill_after_s
     assert migrate_until > 0.2
-    assert sigkill_after_s - schedule.exit_by > 0.05
+    assert sigkill_after_s - schedule.process_ends_after_s > 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -278,7 +278,7 @@
             client.setblocking(False)
             peer = LinePeer(trio.SocketStream(trio.socket.from_stdlib_socket(client)))
             assert (await peer.receive()).startswith("BUSY") and await peer.receive() == "EOF"
-        assert not world.taken
+        assert not world.server_connections
 
     scenario.run("", cross)
 
@@ -424,12 +424,12 @@
         async def migrate_crossing(times: str) -> None:
             def migrate() -> None:
                 for _ in range(int(times)):
-                    world.engine._act(MigrateConnection(1))
+                    world.engine._execute(MigrateConnection(1))
 
             scenario.BeforeStep("Relay._run_until_first_end", migrate)
 
         async def migrate_now(_arguments: str) -> None:
-            world.engine._act(MigrateConnection(1))
+            world.engine._execute(MigrateConnection(1))
 
         world.verbs["migrate_crossing"] = migrate_crossing
         world.verbs["migrate_now"] = migrate_now
@@ -569,7 +569,7 @@
 
     scenario.run(script, build, connect_timeout=math.inf, request_classes=NOT_IDEMPOTENT)
     assert delayed_connects.count == 1
-    assert not worlds[0].taken
+    assert not worlds[0].server_connections
 
 
 def test_deadlines_are_kept_though_every_attempt_connects_late(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/walkloom/__main__.py
+++ b/walkloom/__main__.py
@@ -1,9 +1,9 @@
-"""One balancer as a process: `python -m walkloom`.
+"""Runs one balancer as a process: `python -m walkloom`.
 
-It reads the configuration, turns signals into a reload or a graceful shutdown, and sets the exit status.
+Reads the configuration, handles signals by a reload or a graceful shutdown, and sets the exit status.
 
-Exit statuses: 0 after a graceful shutdown; 2 where the configuration cannot be used, or where the command
-line lacks a library or its words are wrong.
+Exit statuses: 0 after a graceful shutdown; 2 if the configuration is invalid, a library for the command line
+is missing, or the command line arguments are wrong.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 
 log = logging.getLogger("walkloom")
 
-# The operator's file of the QUIC frontend; without it that frontend is off.
+# The operator's configuration file for the QUIC frontend; without it that frontend is off.
 QUIC_FILE = Path("deploy/quic.toml")
 
-# As click and argparse use it for wrong usage.
-EXIT_UNUSABLE = 2
+# click and argparse use the same status for usage errors.
+EXIT_USAGE_ERROR = 2
 
 
 @dataclass(frozen=True, slots=True)
 class _StartConfig:
-    """All that is read before the start."""
+    """All configuration that is read before the start."""
 
     balancer: Config
 
@@ -48,7 +48,7 @@
 async def run(conf: Config, quic: QuicConfig | None, early_sighups: list[int]) -> None:
     """Run one balancer until SIGTERM or SIGINT.
 
-    early_sighups: the SIGHUPs that came before this function receives signals.
+    early_sighups: the SIGHUPs that arrived before this function began to receive signals.
     """
     with trio.open_signal_receiver(signal.SIGHUP, signal.SIGTERM, signal.SIGINT) as signals:
         async with trio.open_nursery() as nursery:
@@ -68,8 +68,8 @@
 ) -> None:
     """Reload on SIGHUP and set `stop` on SIGTERM and SIGINT, until cancelled.
 
-    It goes on during a shutdown: trio raises a signal that nobody received again as its receiver closes, and
-    that would end the process with the signal's exit status.
+    This must keep running during a shutdown. When its receiver closes, trio raises again any signal that was
+    not received, and that would end the process with the signal's exit status.
     """
     async for number in signals:
         if number == signal.SIGHUP:
@@ -79,9 +79,9 @@
 
 
 def reload_config(conf: Config, watcher: EndpointWatcher) -> None:
-    """Read the configuration again and move the watch to the discovery that it names.
+    """Read the configuration again and switch the watch to the discovery that it names.
 
-    All other changes wait for a restart, and the log names them. A file that is missing or half written
+    All other changes take effect only after a restart; the log names them. A missing or half-written file
     changes nothing.
     """
     try:
@@ -89,21 +89,21 @@
     except ConfigError as error:
         log.error("reload_failed error=%r", str(error))
         return
-    restart_for = ",".join(conf.fixed_changes(new)) or "-"
+    restart_for = ",".join(conf.restart_only_changes(new)) or "-"
     log.info("configuration_reloaded discovery=%s:%d restart_for=%s", *new.discovery, restart_for)
     watcher.change_discovery(new.discovery)
 
 
 def main() -> int:
-    """Run the command line, or without arguments one balancer; return the exit status.
+    """Run the command line, or one balancer if there are no arguments; return the exit status.
 
-    Without arguments, as the platform starts it, nothing of the command line is loaded.
+    The platform starts the program without arguments; the command line modules are then not loaded.
     """
     if len(sys.argv) == 1:
         return serve()
     if not find_spec("click"):
-        print("walkloom: the command line needs requirements-lab.txt", file=sys.stderr)
-        return EXIT_UNUSABLE
+        print("walkloom: the command line needs the packages in requirements-lab.txt", file=sys.stderr)
+        return EXIT_USAGE_ERROR
     from walkloom import cli
 
     cli.main(prog_name="walkloom")
@@ -115,26 +115,26 @@
     early_sighups = _collect_sighups()
     logging.basicConfig(handlers=[NonBlockingLogHandler(sys.stderr.fileno())], level=logging.INFO)
     try:
-        start = _load_start_config()
+        start_config = _load_start_config()
     except ConfigError as error:
         log.error("configuration_invalid error=%r", str(error))
-        return EXIT_UNUSABLE
+        return EXIT_USAGE_ERROR
     status = 0
     try:
-        trio.run(run, start.balancer, start.quic, early_sighups)
+        trio.run(run, start_config.balancer, start_config.quic, early_sighups)
     except* ConfigError as errors:
-        # What shows only in use, such as an address that cannot be listened on.
+        # Errors that appear only at run time, such as an address that cannot be listened on.
         log.error("configuration_invalid error=%r", str(_first_error(errors)))
-        status = EXIT_UNUSABLE
+        status = EXIT_USAGE_ERROR
     return status
 
 
 def _collect_sighups() -> list[int]:
-    """Replace the default action of SIGHUP, and return the list to which those that come are added.
+    """Install a SIGHUP handler and return the list to which it appends each SIGHUP.
 
-    To be called first. The default action would end the process on a SIGHUP before `run` receives signals or
-    after it has ceased to. Before that the shell that starts the process has SIGHUP ignored. The list also
-    shows that the file was replaced after it was read.
+    Call this first. The default action would end the process on a SIGHUP that arrives before `run` receives
+    signals or after it has stopped receiving them. Until this call, SIGHUP is ignored, as set by the shell
+    that starts the process. The list also shows that the file was replaced after it was read.
     """
     sighups: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _frame: sighups.append(number))
@@ -146,12 +146,12 @@
     balancer = replace(config.load(), known_age_s=process_start.age_s())
     quic = quic_settings.load(QUIC_FILE, balancer.names)
     if quic and not find_spec("cryptography"):
-        raise ConfigError(f"{QUIC_FILE} needs requirements-quic.txt")
+        raise ConfigError(f"{QUIC_FILE}: the QUIC frontend needs the packages in requirements-quic.txt")
     return _StartConfig(balancer, quic)
 
 
 def _first_error(error: BaseException) -> BaseException:
-    """Return the first error inside nested exception groups, which trio's nurseries raise."""
+    """Return the first error inside nested exception groups, such as trio's nurseries raise."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return error
--- a/walkloom/config.py
+++ b/walkloom/config.py
@@ -1,10 +1,10 @@
-"""The configuration that the platform hands to a balancer at its start.
+"""The configuration that the platform passes to a balancer at its start.
 
-GW_CONFIG names a JSON file. `load` reads it and `parse` turns it into typed values, each checked. The keys of
-the file are the platform's; only this module and `simulator/settings.py`, which reads the key `settings`,
-know them.
+GW_CONFIG names a JSON file. `load` reads it, and `parse` converts it to typed and validated values. The
+platform defines the keys of the file; only this module and `simulator/settings.py`, which reads the key
+`settings`, use them.
 
-ConfigError is the one error of this module.
+ConfigError is the only error that this module raises.
 """
 
 from __future__ import annotations
@@ -22,34 +22,34 @@
 
 T = TypeVar("T")
 
-# Names the configuration file.
+# Environment variable that holds the path of the configuration file.
 PATH_VARIABLE = "GW_CONFIG"
 
-# Descriptors that the process may hold, where the file sets no limit.
+# Number of descriptors that the process may hold if the file sets no limit.
 DEFAULT_DESCRIPTORS = 1024
 
-# Fewer descriptors do not work: this leaves room for two requests beside those that
-# transport/descriptor_limit.py sets apart for the process itself and for load reports.
+# Fewer descriptors do not work: this leaves room for two requests besides the descriptors that
+# transport/descriptor_limit.py reserves for the process itself and for load reports.
 MIN_DESCRIPTORS = 24
 
-# A shorter deadline could not be met by any endpoint.
+# No endpoint could meet a shorter deadline.
 MIN_DEADLINE_MS = 1.0
 
-# A change of the list counts as notified so long after discovery had it, or after a watch fell silent. The
-# platform's rule.
+# By the platform's rule, a change of the list counts as notified this long after discovery had it, or after a
+# watch became silent.
 MAX_LIST_AGE_MS = 6000.0
 
-# The process may be held up so long between reading its clock and writing. The platform's rule.
-MAX_HOLD_UP_MS = 150.0
+# By the platform's rule, the process may stall this long between reading its clock and writing.
+MAX_STALL_MS = 150.0
 
-# How long a connection attempt may take, where the file does not say.
+# Timeout of a connection attempt if the file sets none.
 DEFAULT_CONNECT_TIMEOUT_MS = 1000.0
 
 # One more than the largest TCP or UDP port.
 PORT_END = 1 << 16
 
-# The fields of Config that only a restart applies; a reload applies `discovery`, and the rest matters only
-# at the start.
+# The fields of Config whose changes need a restart. A reload applies `discovery`; the other fields are used
+# only at the start.
 RESTART_ONLY_FIELDS = (
     "name",
     "listen",
@@ -63,10 +63,10 @@
 
 
 class ConfigError(ValueError):
-    """A configuration that cannot be used; the text is one line that an operator can act on.
+    """An invalid configuration; the message is one line that an operator can act on.
 
-    `field` is the key of the file that is at fault; None where it is the file as a whole, or where the text
-    alone names it.
+    `field` is the invalid key of the file; None if the file as a whole is invalid or only the message names
+    the key.
     """
 
     def __init__(self, text: str, *, field: str | None = None) -> None:
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingNames:
-    """The names that the settings list; the policy knows each by its index."""
+    """The names listed in the settings; the policy refers to each by its index."""
 
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
@@ -88,50 +88,51 @@
 class Config:
     """The configuration of one balancer."""
 
-    # The balancer's name, for the log.
+    # The balancer's name in the log.
     name: str
 
-    # Host and port to listen on; port 0: the system chooses.
+    # Host and port to listen on; port 0: chosen by the system.
     listen: tuple[str, int]
 
     # Host and port of discovery.
     discovery: tuple[str, int]
 
-    # Of the policy's random choices.
+    # Seed of the policy's random choices.
     seed: int
 
-    # Descriptors that the process may hold.
+    # Number of descriptors that the process may hold.
     sockets: int
 
-    # The endpoint list as this balancer had it last, in discovery's form; `null` where it had none.
+    # The last endpoint list of this balancer, in discovery's format; `null` if it had none.
     known: bytes
 
-    # What the policy needs to know of the service.
+    # The policy's settings.
     settings: Settings
 
     # The names behind the indexes in `settings`.
     names: SettingNames
 
-    # The fields of a load report that go to the policy, in this order.
+    # The fields of a load report that are passed to the policy, in this order.
     fields: tuple[str, ...]
 
-    # How long connecting to an endpoint may take, ms.
+    # Timeout of connecting to an endpoint, ms.
     connect_timeout: float
 
     # The longest deadline of all request classes, ms.
     longest: float
 
-    # For how long `known` has been this process's list, s: since its start, where it is the process's own.
+    # Age of `known` as this process's list, s. For a balancer in a process of its own, the time since the
+    # process started.
     known_age_s: float = 0.0
 
-    def fixed_changes(self, new: Config) -> list[str]:
-        """Return the fields in which a file that was read again differs and which wait for a restart."""
+    def restart_only_changes(self, new: Config) -> list[str]:
+        """Return the changed fields of a reloaded configuration that take effect only after a restart."""
         return [field for field in RESTART_ONLY_FIELDS if getattr(self, field) != getattr(new, field)]
 
 
 @dataclass(frozen=True, slots=True)
 class _SettingsSection:
-    """What the file holds under the key `settings`."""
+    """The content of the key `settings` of the file."""
 
     settings: Settings
     names: SettingNames
@@ -141,17 +142,17 @@
 
 
 class _FileReader:
-    """Reads keys of the file, and names the file and the key in each error."""
+    """Reads keys of the file; each error names the file and the key."""
 
     def __init__(self, data: dict[str, Any], origin: str) -> None:
         self._data = data
         self._origin = origin
 
     def required(self, key: str, convert: Callable[[Any], T]) -> T:
-        """Return the converted value of a key; raises ConfigError where it is absent or cannot be used."""
+        """Return the converted value of a key; raises ConfigError if it is missing or invalid."""
         value = self._data.get(key)
         if value is None:
-            raise ConfigError(f"{self._origin}: lacks the key {key!r}", field=key)
+            raise ConfigError(f"{self._origin}: missing key {key!r}", field=key)
         try:
             return convert(value)
         except (LookupError, ValueError, TypeError, AttributeError) as error:
@@ -173,7 +174,7 @@
 def parse(data: Any, origin: str) -> Config:
     """Return the configuration from the decoded file; raises ConfigError.
 
-    origin: what an error names as the file.
+    origin: name of the file in error messages.
     """
     if not isinstance(data, dict):
         raise ConfigError(f"{origin}: not an object")
@@ -181,11 +182,12 @@
     section = reader.required("settings", _parse_settings)
     return Config(
         name=reader.required("name", str),
-        listen=reader.required("listen", address),
-        discovery=reader.required("discovery", address),
+        listen=reader.required("listen", parse_address),
+        discovery=reader.required("discovery", parse_address),
         seed=reader.required("seed", _parse_seed),
         sockets=reader.required("limits", _parse_descriptors) if data.get("limits") else DEFAULT_DESCRIPTORS,
-        # Kept in discovery's form, whose codec reads it; a list that cannot be used must not prevent a start.
+        # Kept in discovery's format and decoded by its codec later, so that an invalid list does not prevent
+        # the start.
         known=orjson.dumps(data.get("known")),
         settings=section.settings,
         names=section.names,
@@ -195,7 +197,7 @@
     )
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Return host and port of `HOST:PORT`; raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not _is_port(port):
@@ -204,7 +206,7 @@
 
 
 def _is_port(text: str) -> bool:
-    # isdigit alone also holds for digits of other scripts.
+    # isdigit alone would also accept digits of other scripts.
     return text.isascii() and text.isdigit() and int(text) < PORT_END
 
 
@@ -215,19 +217,19 @@
 def _parse_descriptors(limits: Any) -> int:
     descriptors = limits.get("sockets", DEFAULT_DESCRIPTORS)
     if int(descriptors) < MIN_DESCRIPTORS:
-        raise ValueError(f"sockets: {descriptors} is under {MIN_DESCRIPTORS}")
+        raise ValueError(f"sockets: {descriptors} is less than the minimum of {MIN_DESCRIPTORS}")
     return int(descriptors)
 
 
 def _parse_settings(data: Any) -> _SettingsSection:
-    """Return the settings; raises ValueError, TypeError or AttributeError with a text that names the key."""
+    """Return the settings; raises ValueError, TypeError or AttributeError that names the key."""
     reader = SettingsReader(flatten_settings(data))
-    # Over sockets loads are polled before a placement; only on the simulator's wire do endpoints report
-    # latencies by themselves.
+    # Over sockets, loads are polled before a placement; endpoints report latencies on their own only on the
+    # simulator's wire.
     settings = replace(
         read_settings(reader),
         server_reports_latency=False,
-        max_stall_ms=MAX_HOLD_UP_MS,
+        max_stall_ms=MAX_STALL_MS,
         max_list_age_ms=MAX_LIST_AGE_MS,
     )
     names = SettingNames(
@@ -237,7 +239,7 @@
         machine_types=_parse_names(data, "kinds"),
     )
     if len(set(names.classes)) < len(names.classes):
-        raise ValueError(f"classes: a name comes twice: {', '.join(names.classes)}")
+        raise ValueError(f"classes: duplicate name: {', '.join(names.classes)}")
     return _SettingsSection(
         settings=settings,
         names=names,
@@ -254,9 +256,9 @@
 
 
 def _parse_names(data: Any, *keys: str) -> tuple[str, ...]:
-    """Return the names in the list at a path of keys; empty where it is absent.
+    """Return the names in the list at a path of keys; empty if the path is absent.
 
-    An entry is a plain name, or an object with the key `name`.
+    Each entry is a plain name, or an object with the key `name`.
     """
     section = data
     try:
@@ -264,7 +266,7 @@
             section = section.get(key) or {}
         return tuple(_parse_name(entry) for entry in section)
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"{'.'.join(keys)}: no list of names: {error!r}") from error
+        raise ValueError(f"{'.'.join(keys)}: not a list of names: {error!r}") from error
 
 
 def _parse_name(entry: Any) -> str:
--- a/walkloom/discovery/codec.py
+++ b/walkloom/discovery/codec.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from walkloom.config import SettingNames, address
+from walkloom.config import SettingNames, parse_address
 from walkloom.discovery.errors import MalformedEndpointListError
 from walkloom.messages import Endpoint, EndpointId, EndpointListUpdate, Lifecycle, UpdateKind
 from walkloom.transport.address import SocketAddress
@@ -85,7 +85,7 @@
         try:
             endpoint = _decode_endpoint(entry, names)
             if endpoint.lifecycle is not Lifecycle.REMOVED:
-                addresses[endpoint.id] = address(entry["hostPort"])
+                addresses[endpoint.id] = parse_address(entry["hostPort"])
         except _FORM_ERRORS as error:  # one entry in another form must not cost the rest of the list
             invalid.append(f"{error!r} in {entry!r}")
         else:
--- a/walkloom/engine/connection_migration.py
+++ b/walkloom/engine/connection_migration.py
@@ -1,4 +1,4 @@
-"""Migrates open connections to other balancers, spread evenly over a time."""
+"""Migrates open connections to other balancers at an even rate over a period."""
 
 from __future__ import annotations
 
@@ -10,21 +10,22 @@
 from walkloom.engine.request_handle import RequestHandle
 from walkloom.messages import MigrateConnection
 
-# Connections migrate in steps this far apart, so that they come back to the other balancers spread out.
+# Interval between migration steps. Steps spread the reconnects over time at the other balancers.
 MIGRATION_STEP_S = 0.05
 
 
-async def migrate_evenly(handles: Collection[RequestHandle], end: float) -> None:
-    """Ask every established connection once to migrate, until cancelled.
+async def migrate_evenly(handles: Collection[RequestHandle], end_at: float) -> None:
+    """Send each established connection one migration command; runs until cancelled.
 
-    What is established later migrates in the next step, also after the end.
+    Connections that are established later migrate in the next step, even after `end_at`.
 
-    handles: a live view of all open requests. end: when the last should have been asked, trio's clock.
+    handles: a live view of all open requests. end_at: when the last command should have been sent, in seconds
+    of trio's clock.
     """
     migrated = set[int]()
     while True:
         remaining = [handle for handle in handles if handle.is_established and handle.id not in migrated]
-        steps_left = max((end - trio.current_time()) / MIGRATION_STEP_S, 1.0)
+        steps_left = max((end_at - trio.current_time()) / MIGRATION_STEP_S, 1.0)
         for handle in remaining[: math.ceil(len(remaining) / steps_left)]:
             migrated.add(handle.id)
             handle.deliver(MigrateConnection(handle.id))
--- a/walkloom/engine/engine.py
+++ b/walkloom/engine/engine.py
@@ -1,10 +1,10 @@
 """The engine between the policy and any frontend.
 
-It owns the policy (`Balancer`), its clock, its timers and the mailbox of each request. Events go in by plain
-calls, which never wait; each action that the policy answers with goes to whom it concerns, a command to the
-mailbox of the task that serves the request. The engine knows no socket and no protocol.
+It owns the policy (`Balancer`), its clock, its timers and the mailbox of each request. Events arrive as plain
+method calls, which never block. The engine carries out each action that the policy returns; a command goes to
+the mailbox of the task that serves the request. The engine handles no sockets and no protocol.
 
-All calls come from one thread, trio's. The two tasks are `run_timers` and `run_latency_monitor`.
+All calls must come from the trio thread. The caller runs two tasks: `run_timers` and `run_latency_monitor`.
 """
 
 from __future__ import annotations
@@ -56,36 +56,36 @@
 
 log = logging.getLogger("walkloom")
 
-# When a client that comes during a shutdown is asked to come back: the frontend is gone half a second later,
-# and the client then reaches another balancer.
+# Retry-after for requests that arrive during a shutdown. The frontend is gone half a second later, so the
+# client then reaches another balancer.
 SHUTDOWN_RETRY_AFTER_MS = 500.0
 
 
 class Engine:
-    """Runs the policy for any number of frontends; to be made inside a trio run.
+    """Runs the policy for any number of frontends; must be created inside a trio run.
 
-    Attributes that others read:
+    Public attributes:
 
-    - settings: as handed over.
-    - load_signals: tells what endpoints report on open connections.
-    - load_report_requests: the endpoints that the policy wants a load report of, in order.
-    - stopping: whether new requests are rejected, as connections are being migrated away.
+    - settings: the settings that the engine was created with.
+    - load_signals: classifies the values that endpoints report on open connections.
+    - load_report_requests: channel of the endpoints that the policy wants load reports from, in order.
+    - stopping: whether new requests are rejected because connections are being migrated away.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Create the engine and its policy; seed: of the policy's random choices."""
+        """Create the engine and its policy; seed: for the policy's random choices."""
         self.settings = settings
         self._balancer = Balancer(settings, seed)
-        # The endpoint list carries Unix times (`startedAtMs`), so the clock is Unix time; it is carried on
-        # monotonically, as a step of the system's clock would fire or delay every timer.
+        # The endpoint list carries Unix times (`startedAtMs`), so the clock starts at Unix time. It advances
+        # with the monotonic clock, because a step of the system clock would fire or delay every timer.
         self._clock_offset_ms = time.time() * 1000.0 - trio.current_time() * 1000.0
         self._handles: dict[RequestId, RequestHandle] = {}
         self._last_request_id = 0
         self._timers = TimerQueue(self.now, self._fire_timer)
-        self._endpoint_list_wanted = trio.Event()
+        self._watch_requested = trio.Event()
         if not settings.polls_endpoint_list:
-            # The policy expects to be pushed the list and never asks; over sockets a watch pushes it.
-            self._endpoint_list_wanted.set()
+            # The policy expects pushed updates and never requests them; over sockets a watch delivers them.
+            self._watch_requested.set()
         self._load_report_requests, self.load_report_requests = trio.open_memory_channel[EndpointId](math.inf)
         latency_objective_ms = _shortest_message_objective_ms(settings)
         self._latency_monitor = LatencyMonitor(latency_objective_ms)
@@ -93,12 +93,12 @@
         self.stopping = False
 
     def now(self) -> float:
-        """Return the policy's clock: Unix time, carried on monotonically, ms."""
+        """Return the policy's clock: Unix time at the start, advanced monotonically, ms."""
         return self._clock_offset_ms + trio.current_time() * 1000.0
 
     @property
     def open_requests(self) -> int:
-        """How many requests wait for their answer or have an open connection."""
+        """The number of requests that wait for an answer or have an open connection."""
         return len(self._handles)
 
     @property
@@ -106,7 +106,7 @@
         """Whether no request is open."""
         return not self._handles
 
-    # Requests, from their arrival to their end.
+    # Requests, from arrival to end.
 
     def submit(
         self,
@@ -120,9 +120,9 @@
         is_retry: bool = False,
         is_reconnect: bool = False,
     ) -> RequestHandle:
-        """Take a client's request; the policy's commands follow on the handle that is returned.
+        """Submit a client's request; the policy's commands arrive on the returned handle.
 
-        The parameters are the fields of `messages.Request`. deadline: absolute, ms.
+        The parameters are the fields of `messages.Request`. deadline: absolute, ms of the engine's clock.
         """
         handle = self._register(RequestHandle(self, self._next_request_id(), deadline))
         request = Request(
@@ -145,19 +145,19 @@
 
     def adopt(
         self,
-        server: EndpointId,
+        endpoint: EndpointId,
         request_class: int,
         *,
         tenant: int = 0,
         client_key: ClientKey = None,
         affinity_group: AffinityGroup = None,
     ) -> RequestHandle:
-        """Take over a connection that is established at an endpoint already; no placement, no answer.
+        """Take over a connection that is already established; there is no placement and no final answer.
 
-        server: that endpoint. The other parameters are the fields of `messages.Request`.
+        endpoint: id of the connection's endpoint. The other parameters are the fields of `messages.Request`.
         """
         handle = self._register(
-            RequestHandle(self, self._next_request_id(), math.inf, attempt=0, endpoint_id=server)
+            RequestHandle(self, self._next_request_id(), math.inf, attempt=0, endpoint_id=endpoint)
         )
         request = Request(
             id=handle.id,
@@ -168,19 +168,19 @@
             affinity_group=affinity_group,
             is_established=True,
         )
-        self.dispatch(ConnectionAdopted(request, server))
+        self.dispatch(ConnectionAdopted(request, endpoint))
         return handle
 
     def forget(self, request_id: RequestId) -> None:
-        """Drop a request that has ended; unknown ones are ignored."""
+        """Remove a request that has ended; unknown ids are ignored."""
         self._handles.pop(request_id, None)
 
     def may_send(self, request_id: RequestId, endpoint_id: EndpointId) -> bool:
-        """Return whether the policy still allows the request's first byte to go to the endpoint."""
+        """Return whether the policy still allows the request's first byte to be sent to the endpoint."""
         return self._balancer.may_send(request_id, endpoint_id, self.now())
 
     def record_latency(self, endpoint_id: EndpointId, latency_ms: float) -> None:
-        """Note what a message took at an endpoint."""
+        """Record the latency of one message at an endpoint."""
         self._latency_monitor.record(endpoint_id, latency_ms)
 
     def _next_request_id(self) -> int:
@@ -188,29 +188,29 @@
         return self._last_request_id
 
     def _register(self, handle: RequestHandle) -> RequestHandle:
-        """Enter the handle, before its event is dispatched: the policy's answer is delivered by its id."""
+        """Register the handle before its event is dispatched, so that commands reach it by its id."""
         self._handles[handle.id] = handle
         return handle
 
-    # What discovery and the load report poller hand over.
+    # Updates from discovery and the load report poller.
 
     def discovery_changed(self) -> None:
-        """Ask for the endpoint list at once, as another discovery serves it from now on."""
-        # An update without endpoints changes nothing in the list. It counts as a success, so that the policy
-        # restarts its backoff, which the calls that failed at the old discovery have lengthened.
+        """Request the endpoint list at once, because another discovery serves it from now on."""
+        # An update without endpoints leaves the list unchanged but counts as a success. The policy then
+        # resets its backoff, which failed calls to the old discovery have lengthened.
         self.endpoint_list_received(UpdateKind.INCREMENTAL)
-        self._endpoint_list_wanted.set()
+        self._watch_requested.set()
 
-    def endpoint_list_received(self, kind: UpdateKind, servers: Iterable[Endpoint] = ()) -> None:
-        """Hand the policy an update of the endpoint list; servers: its endpoints, none where it failed."""
-        self.endpoint_list_updated(EndpointListUpdate(kind, tuple(servers)))
+    def endpoint_list_received(self, kind: UpdateKind, endpoints: Iterable[Endpoint] = ()) -> None:
+        """Pass the policy an endpoint list update; endpoints: empty if the call for the list failed."""
+        self.endpoint_list_updated(EndpointListUpdate(kind, tuple(endpoints)))
 
     def endpoint_list_updated(self, update: EndpointListUpdate) -> None:
-        """Hand the policy an update of the endpoint list, or the failure of a call for it."""
+        """Pass the policy an endpoint list update, or the failure of a call for the list."""
         if update.kind is UpdateKind.FAILED:
-            # Drops a wish from before the failure, which would skip the backoff; before the dispatch, in
-            # which the policy may ask anew.
-            self._endpoint_list_wanted = trio.Event()
+            # Drops a request from before the failure, which would skip the backoff. This must happen before
+            # the dispatch, in which the policy may request the list again.
+            self._watch_requested = trio.Event()
         self.dispatch(update)
 
     def watch_hold_ms(self) -> float:
@@ -218,43 +218,46 @@
         return self._balancer.watch_hold_ms(self.now())
 
     def list_lease_ms(self) -> float:
-        """Return how long the endpoint list may still be used, ms; inf: without limit."""
+        """Return the time left on the list lease, ms; inf: no limit."""
         return self._balancer.list_lease_ms(self.now())
 
     async def wait_for_watch_request(self) -> None:
-        """Return once the policy has asked for the endpoint list since the last return."""
-        await self._endpoint_list_wanted.wait()
-        self._endpoint_list_wanted = trio.Event()
+        """Wait until the policy has requested the endpoint list since this method last returned."""
+        await self._watch_requested.wait()
+        self._watch_requested = trio.Event()
 
-    def load_report_received(self, server: EndpointId, elapsed: float, report: tuple[float, ...]) -> None:
-        """Hand the policy an endpoint's load report.
+    def load_report_received(
+        self, endpoint: EndpointId, response_time_ms: float, values: tuple[float, ...]
+    ) -> None:
+        """Pass the policy an endpoint's load report.
 
-        elapsed: from the question to the answer, ms. report: in the order of the settings; empty: none yet.
+        endpoint: id of the endpoint. response_time_ms: time from the request to the response. values: in the
+        order of the settings; empty if the endpoint has no report yet.
         """
         self.dispatch(
             LoadReportReceived(
-                endpoint_id=server, status=AttemptStatus.OK, elapsed_ms=elapsed, load_report=report
+                endpoint_id=endpoint, status=AttemptStatus.OK, elapsed_ms=response_time_ms, load_report=values
             )
         )
 
     # Events in, actions out.
 
     def dispatch(self, event: Event) -> None:
-        """Hand one event to the policy and carry out the actions that it answers with.
+        """Pass one event to the policy and carry out the actions that it returns.
 
-        Never raises: an error of the policy ends at most the request that the event is about.
+        Never raises: an error in the policy ends at most the request that the event is about.
         """
         try:
             for action in self._balancer.handle(event, self.now()):
-                self._act(action)
+                self._execute(action)
         except Exception:
-            # Broad on purpose: whatever the fault of the policy is, the other requests go on.
+            # Broad on purpose: no error in the policy may affect the other requests.
             log.exception("policy_error event=%s", type(event).__name__)
             handle = self._handles.get(_request_id(event))
             if handle and not handle.is_established:
                 handle.deliver(Fail(handle.id, AnswerReason.INTERNAL_ERROR))
 
-    def _act(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case StartAttempt() | Reject() | Fail() | MigrateConnection():
                 handle = self._handles.get(action.request_id)
@@ -263,7 +266,7 @@
             case StartTimer():
                 self._timers.add(action.fires_at, action.token)
             case WatchEndpointList():
-                self._endpoint_list_wanted.set()
+                self._watch_requested.set()
             case PollLoadReport():
                 self._load_report_requests.send_nowait(action.endpoint_id)
             case LogMessage():
@@ -281,7 +284,7 @@
         self.dispatch(TimerFired(token))
 
     async def run_latency_monitor(self) -> None:
-        """Inform the policy of slow endpoints at regular intervals until cancelled."""
+        """Report slow endpoints to the policy at regular intervals until cancelled."""
         while True:
             await trio.sleep(REPORT_INTERVAL_S)
             for endpoint_latency in self._latency_monitor.summarize(self._handles.values()):
@@ -305,35 +308,35 @@
             )
         )
 
-    # Graceful shutdown, in this order (server.BalancerServer.shut_down).
+    # Graceful shutdown; server.BalancerServer.shut_down calls these methods in this order.
 
     async def migrate_connections(self, delay_s: float, duration_s: float) -> None:
-        """Migrate every open connection, spread evenly over a time that begins after a delay.
+        """Wait for a delay, then migrate every open connection at an even rate over a duration.
 
         Connections that are established later migrate in the next step. Runs until cancelled.
         """
-        end = trio.current_time() + delay_s + duration_s
+        end_at = trio.current_time() + delay_s + duration_s
         await trio.sleep(delay_s)
-        # Until now new requests are served: the balancer that takes over may be starting still.
+        # New requests are served until now, because the balancer that takes over may still be starting.
         self.stopping = True
-        await migrate_evenly(self._handles.values(), end)
+        await migrate_evenly(self._handles.values(), end_at)
 
     def shut_down(self) -> None:
-        """Tell the policy that the balancer ends.
+        """Notify the policy that the balancer shuts down.
 
-        Requests without an attempt get their final answers now, the others as their attempts end.
+        Requests without an attempt get their final answers now, the others when their attempts end.
         """
         self.dispatch(ShutdownStarted())
 
 
 def _shortest_message_objective_ms(settings: Settings) -> float:
-    """Return the shortest message latency objective of all request classes, ms; inf where there is none."""
+    """Return the shortest message latency objective of all request classes, ms; inf if none is set."""
     objectives_ms = (request_class.message_latency_objective_ms for request_class in settings.request_classes)
     return min((objective_ms for objective_ms in objectives_ms if objective_ms), default=math.inf)
 
 
 def _request_id(event: Event) -> RequestId:
-    """Return the request that an event is about; None where it is about none, or adopts a connection."""
+    """Return the request id of an event; None if the event has none or adopts a connection."""
     if isinstance(event, Request):
         return event.id
     return getattr(event, "request_id", None)
--- a/walkloom/engine/errors.py
+++ b/walkloom/engine/errors.py
@@ -1,7 +1,7 @@
 """Errors of the engine.
 
 EngineError
-└── LoadSignalError   an endpoint reported a load that no connection can have
+└── LoadSignalError   an endpoint reported a load that is out of range
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 
 class LoadSignalError(EngineError, ValueError):
-    """An endpoint reported a load that is negative, not finite, or more than any machine can do.
+    """An endpoint reported a load that is negative, not finite, or more than any machine can perform.
 
-    `value` is the number that it reported.
+    `value` is the reported number.
     """
 
     def __init__(self, value: float) -> None:
-        super().__init__(f"no load: {value}")
+        super().__init__(f"load out of range: {value}")
         self.value = value
--- a/walkloom/engine/latency_monitor.py
+++ b/walkloom/engine/latency_monitor.py
@@ -1,7 +1,7 @@
-"""What messages take at each endpoint, summed up at regular intervals.
+"""Measures the message latency of each endpoint and summarizes it at regular intervals.
 
-The line protocol carries no latency, so it is measured: from a line's way to the endpoint to the next line
-back. No I/O; the engine calls `summarize` once in REPORT_INTERVAL_S.
+The line protocol carries no latency, so it is measured: from forwarding a line to the endpoint until the next
+line comes back. No I/O; the engine calls `summarize` once per REPORT_INTERVAL_S.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from walkloom.engine.request_handle import RequestHandle
 from walkloom.messages import EndpointId
 
-# How often latencies are summed up; tile servers report theirs at the same rate (load_signal).
+# Length of an interval; tile servers report their latency at the same rate (see load_signal).
 REPORT_INTERVAL_S = 1.0
 
 
@@ -22,26 +22,26 @@
 class EndpointLatency:
     """The message latency of one endpoint over one interval."""
 
-    # An established connection to the endpoint, in whose name the policy is informed.
+    # An established connection to the endpoint; the signal to the policy carries its request id.
     handle: RequestHandle
 
-    # The median over all connections, ms.
+    # Median over all connections, ms.
     latency_ms: float
 
-    # How many latencies it is the median of.
+    # Number of latencies in the median.
     sample_count: int
 
 
 class LatencyMonitor:
-    """Collects message latencies and names the endpoints that are slow, or just cease to be."""
+    """Collects message latencies and reports endpoints that are slow or have just recovered."""
 
     def __init__(self, latency_objective_ms: float) -> None:
         """Create a monitor without samples.
 
-        latency_objective_ms: the shortest of all request classes; inf where there is none.
+        latency_objective_ms: the shortest of all request classes; inf if none is set.
         """
         self._slow_threshold_ms = slow_threshold_ms(latency_objective_ms)
-        # Of the current interval, ms.
+        # Latencies of the current interval, ms.
         self._samples: dict[EndpointId, list[float]] = {}
         # The endpoints that were slow in the last interval in which they had samples.
         self._slow: set[EndpointId] = set()
@@ -53,9 +53,9 @@
     def summarize(self, handles: Iterable[RequestHandle]) -> list[EndpointLatency]:
         """End the current interval and return the latencies that the policy needs.
 
-        These are the endpoints that are slow, and once more those that were slow and no longer are.
+        The result covers every slow endpoint, and once more each endpoint that was slow and has recovered.
 
-        handles: all open requests; an endpoint without an established one is left out.
+        handles: all open requests; an endpoint without an established connection is left out.
         """
         samples = self._samples
         self._samples = {}
@@ -64,11 +64,11 @@
             if not handle.is_established:
                 continue
             handle_by_endpoint[handle.endpoint_id] = handle
-            # An endpoint that hangs returns no line and so would yield no sample at all.
+            # An endpoint that hangs returns no lines, so without this it would have no samples at all.
             pending_ms = handle.oldest_pending_line_ms()
             if pending_ms > self._slow_threshold_ms:
                 samples.setdefault(handle.endpoint_id, []).append(pending_ms)
-        # Forgets endpoints without a connection, so that the set cannot grow with every restart of one.
+        # Drops endpoints without a connection; otherwise the set would grow with every endpoint restart.
         self._slow &= handle_by_endpoint.keys()
         summary = []
         for endpoint_id, latencies in samples.items():
@@ -81,7 +81,7 @@
         return summary
 
     def _update_slow(self, endpoint_id: EndpointId, latency_ms: float) -> bool:
-        """Note whether the endpoint is slow; return whether it is or was."""
+        """Record whether the endpoint is slow; return whether it is slow now or was before."""
         was_slow = endpoint_id in self._slow
         is_slow = latency_ms > self._slow_threshold_ms
         if is_slow:
--- a/walkloom/engine/request_handle.py
+++ b/walkloom/engine/request_handle.py
@@ -1,8 +1,8 @@
 """One request at the engine: its mailbox of commands, and its reports on attempts.
 
-The engine makes a handle for each request; the frontend's task that serves the request holds it until the
-end. The task takes commands from the mailbox, carries them out, and reports what came of them. A handle does
-no I/O and decides nothing.
+The engine creates a handle for each request; the frontend task that serves the request keeps it until the
+request ends. The task receives commands from the mailbox, carries them out and reports the results. A handle
+does no I/O and makes no decisions.
 """
 
 from __future__ import annotations
@@ -34,18 +34,18 @@
 
 log = logging.getLogger("walkloom")
 
-# What the policy may ask of the task that serves a request.
+# The commands that the policy may send to the task that serves a request.
 RequestCommand: TypeAlias = StartAttempt | Reject | Fail | MigrateConnection
 
-# Lines of one request whose latency is measured at the same time. A client that sends on without reading
-# would otherwise use up the memory.
+# Largest number of lines of one request whose latency is measured at the same time. Without a limit, a client
+# that keeps sending without reading would exhaust memory.
 MAX_PENDING_LINES = 256
 
 
 class RequestHost(Protocol):
-    """What a handle needs of the engine; `Engine` implements it.
+    """The part of the engine that a handle uses; `Engine` implements it.
 
-    It stands here so that neither module imports the other in a circle.
+    Defined here to avoid an import cycle between the two modules.
     """
 
     load_signals: LoadSignalClassifier
@@ -54,16 +54,16 @@
         """Return the policy's clock, ms."""
 
     def dispatch(self, event: Event) -> None:
-        """Hand an event to the policy and carry out what it answers."""
+        """Pass an event to the policy and carry out the actions that it returns."""
 
     def may_send(self, request_id: RequestId, endpoint_id: EndpointId) -> bool:
-        """Return whether the request may still go to the endpoint."""
+        """Return whether the request may still be sent to the endpoint."""
 
     def record_latency(self, endpoint_id: EndpointId, latency_ms: float) -> None:
-        """Note what a message took at an endpoint."""
+        """Record the latency of one message at an endpoint."""
 
     def forget(self, request_id: RequestId) -> None:
-        """Drop the request: no command reaches its handle any more."""
+        """Remove the request; its handle receives no more commands."""
 
 
 class RequestHandle:
@@ -72,11 +72,11 @@
     Attributes that frontends read:
 
     - id: the request's number at this balancer.
-    - deadline: absolute time before which the final answer is owed, ms.
+    - deadline: absolute time by which the final answer must be sent, ms.
     - attempt: number of the latest attempt, from 0; -1 before the first.
-    - endpoint_id: where the latest attempt goes.
-    - attempt_started_at: when the policy asked for it, ms.
-    - is_established: whether the endpoint has taken the connection.
+    - endpoint_id: the endpoint of the latest attempt.
+    - attempt_started_at: when the policy started the latest attempt, ms.
+    - is_established: whether the endpoint has accepted the connection.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         attempt: int = -1,
         endpoint_id: EndpointId = None,
     ) -> None:
-        """Create the handle; with an attempt of 0 or more, of a connection that is established already."""
+        """Create the handle; an attempt of 0 or more means that the connection is already established."""
         self.engine = engine
         self.id = request_id
         self.deadline = deadline
@@ -96,26 +96,26 @@
         self._received_at = engine.now()
         self.attempt_started_at = self._received_at
         self.is_established = attempt >= 0
-        # Whether the first byte of the latest attempt may have gone out.
+        # Whether the first byte of the latest attempt may have been sent.
         self.sending_started = self.is_established
-        # When each line that was forwarded and has not been returned went out, ms; oldest first.
+        # Send time of each forwarded line that has no answer yet, ms; oldest first.
         self.pending_lines = deque[float]()
         self._mailbox, self._commands = trio.open_memory_channel[RequestCommand](math.inf)
 
     async def next_command(self) -> RequestCommand:
-        """Wait for what the policy wants next.
+        """Wait for the policy's next command.
 
-        Before the connection is established this returns by the deadline at the latest, and then with Fail.
+        Before the connection is established, this returns Fail once the deadline has passed.
         """
-        with trio.move_on_after(self._time_to_answer_s()):
+        with trio.move_on_after(self._time_to_deadline_s()):
             return await self._commands.receive()
-        # A command that came in the very tick in which the time ran out is still the policy's answer.
+        # A command that arrived in the same tick as the deadline is still the policy's answer.
         with suppress(trio.WouldBlock):
             return self._commands.receive_nowait()
         return self._fail_unanswered()
 
     def deliver(self, command: RequestCommand) -> None:
-        """Put a command into the mailbox; for the engine."""
+        """Put a command into the mailbox; only the engine calls this."""
         if isinstance(command, StartAttempt):
             self.attempt += 1
             self.endpoint_id = command.endpoint_id
@@ -124,25 +124,25 @@
         self._mailbox.send_nowait(command)
 
     def may_start_sending(self) -> bool:
-        """Return whether the attempt's first byte may still go out; to be asked right before sending.
+        """Return whether the attempt's first byte may still be sent; call this right before sending.
 
-        Connecting takes time, in which the endpoint may have begun to drain, or the time in which the
+        While the connection was being set up, the endpoint may have begun to drain, or the time in which the
         request may be repeated may have run out.
         """
         self.sending_started = self.engine.may_send(self.id, self.endpoint_id)
         return self.sending_started
 
-    def withdraw(self) -> Reject | Fail:
-        """End the latest attempt because the balancer stops, and return the final answer.
+    def cancel_for_shutdown(self) -> Reject | Fail:
+        """End the latest attempt because the balancer shuts down, and return the final answer.
 
-        To be called after Engine.shut_down. The policy chooses the answer, as a Reject would promise that
+        Call this after Engine.shut_down. The policy chooses the answer, because a Reject guarantees that
         nothing ran.
         """
         self.report_ended(AttemptStatus.CANCELLED if self.sending_started else AttemptStatus.NOT_SENT)
         if self.is_established:
             # An adopted connection belongs to its endpoint: no other may have it, so there is no choice.
             return Fail(self.id, AnswerReason.SHUTDOWN)
-        # Commands from before the shutdown may be waiting too; only the final answer counts now.
+        # The mailbox may still hold commands from before the shutdown; only the final answer matters now.
         with suppress(trio.WouldBlock):
             while True:
                 command = self._commands.receive_nowait()
@@ -151,7 +151,7 @@
         return self._fail_unanswered()
 
     def report_established(self) -> None:
-        """Report that the endpoint has taken the connection."""
+        """Report that the endpoint has accepted the connection."""
         self.is_established = True
         self.engine.dispatch(
             AttemptEstablished(
@@ -162,10 +162,10 @@
             )
         )
 
-    def report_ended(self, status: AttemptStatus, closed: bool = False) -> None:
+    def report_ended(self, status: AttemptStatus, ends_request: bool = False) -> None:
         """Report that the latest attempt, or the connection that it established, has ended.
 
-        closed: the request has ended too, and no further answer is owed.
+        ends_request: the request has ended too, and no further answer is needed.
         """
         self.engine.dispatch(
             AttemptEnded(
@@ -174,14 +174,14 @@
                 endpoint_id=self.endpoint_id,
                 status=status,
                 elapsed_ms=self._elapsed_ms(),
-                request_closed=closed,
+                request_closed=ends_request,
             )
         )
 
     def report_load_signal(self, value: float) -> None:
-        """Report the value that the endpoint sent as a load; a message latency comes in the same form.
+        """Report the value of a load signal, which may also be a message latency.
 
-        Raises LoadSignalError where the value is out of range.
+        Raises LoadSignalError if the value is out of range.
         """
         signal = self.engine.load_signals.classify(self.endpoint_id, value, self.engine.now())
         self.engine.dispatch(
@@ -195,44 +195,45 @@
         )
 
     def report_client_disconnected(self) -> None:
-        """Report that the client closed its connection before its final answer."""
+        """Report that the client closed its connection before the final answer."""
         self.engine.dispatch(ClientDisconnected(self.id))
 
     def record_line_forwarded(self) -> None:
-        """Note that a line of the client went to the endpoint."""
+        """Record that a line from the client was forwarded to the endpoint."""
         if len(self.pending_lines) < MAX_PENDING_LINES:
             self.pending_lines.append(self.engine.now())
 
     def record_line_returned(self) -> None:
-        """Note that the endpoint sent a line, the answer to the oldest pending one."""
+        """Record that the endpoint sent a line, which answers the oldest pending line."""
         if self.pending_lines:
             forwarded_at = self.pending_lines.popleft()
             self.engine.record_latency(self.endpoint_id, self.engine.now() - forwarded_at)
 
     def oldest_pending_line_ms(self) -> float:
-        """Return how long the oldest line without an answer has waited, ms; 0 where there is none."""
+        """Return how long the oldest line without an answer has waited, ms; 0 if there is none."""
         if not self.pending_lines:
             return 0.0
         return self.engine.now() - self.pending_lines[0]
 
     def age_ms(self) -> float:
-        """Return how long ago the request arrived, ms."""
+        """Return the time since the request arrived, ms."""
         return self.engine.now() - self._received_at
 
     def close(self) -> None:
-        """End the request at the engine; the task calls it last, however the request ended."""
+        """Remove the request from the engine; the task always calls this last."""
         self.engine.forget(self.id)
 
-    def _time_to_answer_s(self) -> float:
-        """Return the time until the final answer is owed; inf once it has been given."""
+    def _time_to_deadline_s(self) -> float:
+        """Return the time until the deadline, s; inf once the connection is established."""
         if self.is_established:
             return math.inf
         return max(self.deadline - self.engine.now(), 0.0) / 1000.0
 
     def _fail_unanswered(self) -> Fail:
-        """Return the answer for a client whom the policy gave none.
+        """Return the final answer for a request that the policy did not answer.
 
-        The policy's timer for the request may have failed; exactly one final answer is owed all the same.
+        The policy's timer for the request may have failed; the client must still get exactly one final
+        answer.
         """
         log.error("policy_gave_no_answer request=%d", self.id)
         return Fail(self.id, AnswerReason.INTERNAL_ERROR)
--- a/walkloom/frontends/line/connection_shutdown.py
+++ b/walkloom/frontends/line/connection_shutdown.py
@@ -103,7 +103,7 @@
         """Answer without waiting for the client to end its side: the descriptor is needed at once."""
         with self.cancelled_at_shutdown(math.inf, ANSWER_TIMEOUT_S), suppress(trio.BrokenResourceError):
             # Unread input would turn the close into a reset, which can overtake the answer.
-            await client.drain()
+            await client.discard_received()
             await client.send(BUSY_WITH_RETRY_AFTER % NO_DESCRIPTOR_RETRY_AFTER_MS)
             await client.send_eof()
 
@@ -122,7 +122,7 @@
             # Also without a line: sending flushes what a cancelled task has left.
             with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
                 await client.send(line)
-            await client.close_gently()
+            await client.close_gracefully()
 
     async def shut_down(self, exit_at_s: float) -> None:
         """End all client connections, and return once they have their answers, or at `exit_at_s`.
--- a/walkloom/frontends/line/placement.py
+++ b/walkloom/frontends/line/placement.py
@@ -76,5 +76,5 @@
         if isinstance(outcome, EstablishedUpstream):
             return outcome
         await trio.sleep(ADOPTION_RETRY_DELAY_S)
-    handle.report_ended(AttemptStatus.CONNECTION_RESET, closed=True)
+    handle.report_ended(AttemptStatus.CONNECTION_RESET, ends_request=True)
     return Fail(handle.id, AnswerReason.ATTEMPTS_USED)
--- a/walkloom/frontends/line/relay.py
+++ b/walkloom/frontends/line/relay.py
@@ -90,7 +90,7 @@
             LOG_WORD_BY_STATUS.get(self._status, self._status.name),
             self._end_reason,
         )
-        self._handle.report_ended(self._status, closed=True)
+        self._handle.report_ended(self._status, ends_request=True)
 
     async def _run_until_first_end(
         self, part: Callable[[], Awaitable[AttemptStatus]], end_reason: str, scope: trio.CancelScope
--- a/walkloom/frontends/line/request_lifecycle.py
+++ b/walkloom/frontends/line/request_lifecycle.py
@@ -172,11 +172,11 @@
         with frontend.connection_shutdown.cancelled_at_shutdown() as shutdown_scope:
             await _race_placement_with_client(frontend, client, handle, request_line, placement)
         if shutdown_scope.cancelled_caught and placement.outcome is None:
-            return handle.withdraw()
+            return handle.cancel_for_shutdown()
     except Exception:  # Whatever broke, the client is owed its one final answer.
         log.exception("request_error id=%s", request_line.id)
         placement.outcome = Fail(handle.id, AnswerReason.INTERNAL_ERROR)
-        handle.report_ended(AttemptStatus.ERROR, closed=True)
+        handle.report_ended(AttemptStatus.ERROR, ends_request=True)
     if placement.outcome is None:
         return _abandon_placement(frontend, handle, request_line, placement.client_sent_input)
     return placement.outcome
@@ -218,7 +218,7 @@
     )
     # The first drops a request that still waits for an attempt; the second ends the attempt that is out.
     handle.report_client_disconnected()
-    handle.report_ended(AttemptStatus.CANCELLED, closed=True)
+    handle.report_ended(AttemptStatus.CANCELLED, ends_request=True)
     return answer
 
 
--- a/walkloom/frontends/quic/relay.py
+++ b/walkloom/frontends/quic/relay.py
@@ -47,7 +47,7 @@
                 status = await self._wait_until_ended()
                 self._nursery.cancel_scope.cancel()
         finally:
-            self._state.handle.report_ended(status, closed=True)
+            self._state.handle.report_ended(status, ends_request=True)
 
     async def add_path(self, client_address: SocketAddress) -> None:
         """Open a path for a new address of the client (RFC 9000, section 9); raises OSError.
--- a/walkloom/frontends/quic/settings.py
+++ b/walkloom/frontends/quic/settings.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from walkloom.config import ConfigError, SettingNames, address
+from walkloom.config import ConfigError, SettingNames, parse_address
 from walkloom.frontends.quic.connection_id import ConnectionIdFormat
 from walkloom.transport.address import SocketAddress
 
@@ -84,7 +84,7 @@
     endpoints = tuple(_parse_endpoint(name, line) for name, line in data["servers"].items())
     _check_server_ids(endpoints, connection_id_format)
     return QuicConfig(
-        listen=address(data["listen"]),
+        listen=parse_address(data["listen"]),
         connection_id_format=connection_id_format,
         request_class=names.classes.index(data["class"]),
         tenant=names.tenants.index(data["tenant"]) if names.tenants else 0,
@@ -96,7 +96,7 @@
 
 def _parse_endpoint(name: str, line: Mapping[str, Any]) -> QuicEndpoint:
     return QuicEndpoint(
-        endpoint_id=name, server_id=bytes.fromhex(line["id"]), address=address(line["address"])
+        endpoint_id=name, server_id=bytes.fromhex(line["id"]), address=parse_address(line["address"])
     )
 
 
--- a/walkloom/log_output.py
+++ b/walkloom/log_output.py
@@ -1,7 +1,7 @@
-"""Where the log goes: standard error, without ever waiting for whoever reads it.
+"""Writes the log to standard error without blocking.
 
-A log line must not hold up requests. Where a line cannot be written at once (the pipe's reader stalls or is
-gone, the disk is full) it is dropped and counted, and the next line that can be written is preceded by
+Logging must not delay requests. A line that cannot be written at once (the reader of the pipe stalls or has
+exited, the disk is full) is dropped and counted. The next line that can be written is preceded by
 `log_lines_dropped`.
 """
 
@@ -12,27 +12,27 @@
 import stat
 from contextlib import suppress
 
-FORMAT = "%(asctime)s %(levelname)s %(message)s"
+LOG_FORMAT = "%(asctime)s %(levelname)s %(message)s"
 
-# A pipe takes so many bytes whole or not at all (POSIX's PIPE_BUF on Linux).
+# A write of up to this size to a pipe succeeds or fails as a whole (PIPE_BUF of POSIX, on Linux).
 MAX_CHUNK_BYTES = 4096
 
 
 class NonBlockingLogHandler(logging.Handler):
-    """Writes each record to a descriptor, or drops it."""
+    """Writes each record to a descriptor, or drops it if the write would block or fails."""
 
     def __init__(self, descriptor: int) -> None:
-        """Write to a descriptor of the caller's; a pipe is opened anew, so that others may wait on it."""
+        """Write to the caller's descriptor; a pipe is reopened, so that its other users still block."""
         super().__init__()
-        self._descriptor = _without_waiting(descriptor)
+        self._descriptor = _open_non_blocking(descriptor)
         self._dropped = 0
-        self.setFormatter(logging.Formatter(FORMAT))
+        self.setFormatter(logging.Formatter(LOG_FORMAT))
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record; never raises and never waits."""
+        """Write a record; never raises and never blocks."""
         try:
             line = self.format(record) + "\n"
-        except Exception:  # noqa: BLE001 - whatever is wrong with a log line must not end a request
+        except Exception:  # noqa: BLE001 - no fault in a log line may end a request
             line = f"log_line_malformed {record.msg!r}\n"
         if self._dropped:
             self._report_dropped(record)
@@ -45,7 +45,7 @@
             self._dropped = 0
 
     def _write(self, data: bytes) -> bool:
-        """Return whether all was written; a long text that was begun may lose its end."""
+        """Return whether all data was written; data longer than one chunk may be cut off."""
         with suppress(OSError):
             for start in range(0, len(data), MAX_CHUNK_BYTES):
                 os.write(self._descriptor, data[start : start + MAX_CHUNK_BYTES])
@@ -53,12 +53,12 @@
         return False
 
 
-def _without_waiting(descriptor: int) -> int:
-    """Return a descriptor for the same pipe whose writes never wait; anything else as it is."""
+def _open_non_blocking(descriptor: int) -> int:
+    """Return a non-blocking descriptor for the same pipe; a descriptor of anything else is returned as is."""
     try:
         if not stat.S_ISFIFO(os.fstat(descriptor).st_mode):
             return descriptor
         return os.open(f"/proc/self/fd/{descriptor}", os.O_WRONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     except OSError:
-        # Not every system has /proc, and a pipe without a reader cannot be opened: its writes fail at once.
+        # Not every system has /proc, and a pipe without a reader cannot be opened; its writes fail at once.
         return descriptor
--- a/walkloom/process_start.py
+++ b/walkloom/process_start.py
@@ -1,4 +1,4 @@
-"""When this process started, on the monotonic clock; to be imported before what takes long to load."""
+"""Start time of this process on the monotonic clock; import this before modules that are slow to load."""
 
 import time
 
@@ -6,5 +6,5 @@
 
 
 def age_s() -> float:
-    """Return for how long the process has run, s, but for the interpreter's own start."""
+    """Return the age of the process, s, without the start-up time of the interpreter."""
     return time.monotonic() - STARTED_AT
--- a/walkloom/transport/__init__.py
+++ b/walkloom/transport/__init__.py
@@ -1,7 +1,7 @@
-"""What all TCP parts share.
+"""Shared parts of all code that uses TCP.
 
-- `address` names the form of a socket address.
+- `address` defines the type of a socket address.
 - `line_stream` reads and writes lines over one TCP stream.
-- `descriptor_limit` shares the process's descriptors among connections.
-- `rate_limited_log` logs what may come by the thousand.
+- `descriptor_limit` divides the process's descriptors among connections.
+- `rate_limited_log` logs events that may occur thousands of times a second.
 """
--- a/walkloom/transport/address.py
+++ b/walkloom/transport/address.py
@@ -1,4 +1,4 @@
-"""Socket addresses as the whole program passes them around."""
+"""The type of socket addresses throughout the program."""
 
 from __future__ import annotations
 
--- a/walkloom/transport/descriptor_limit.py
+++ b/walkloom/transport/descriptor_limit.py
@@ -1,6 +1,6 @@
-"""The descriptors of this process, shared by client connections, upstream connections and load reports.
+"""Divides the process's descriptors among client connections, upstream connections and load reports.
 
-It decides which idle client connection is closed when descriptors run short.
+When descriptors run short, it chooses the idle client connection to close.
 """
 
 from __future__ import annotations
@@ -12,35 +12,35 @@
 
 from walkloom.transport.rate_limited_log import RateLimitedLog
 
-# Standard streams, listener, the connection to discovery, those of the event loop, and a few that are being
-# closed.
+# For the standard streams, the listener, the connection to discovery, the event loop, and a few connections
+# that are being closed.
 RESERVED_DESCRIPTORS = 16
 
-# Load report connections may hold one descriptor in so many.
+# Load report connections may hold one in this many descriptors.
 DESCRIPTORS_PER_LOAD_REPORT_CONNECTION = 8
 
 
 class DescriptorLimit:
-    """How many descriptors connections may hold together.
+    """Limits the number of descriptors that all connections hold together.
 
-    Without it, clients that open connections and send nothing could take every descriptor, and none would be
-    left for upstream connections, load reports and the call to discovery.
+    Without this limit, clients that open connections and send nothing could take every descriptor. None would
+    be left for upstream connections, load reports and the call to discovery.
     """
 
-    def __init__(self, sockets: int) -> None:
-        """sockets: the descriptors that this process may hold."""
-        self.load_report_connections = sockets // DESCRIPTORS_PER_LOAD_REPORT_CONNECTION
-        self._available = sockets - self.load_report_connections - RESERVED_DESCRIPTORS
+    def __init__(self, descriptors: int) -> None:
+        """Divide the descriptors; descriptors: the number that this process may hold."""
+        self.load_report_connections = descriptors // DESCRIPTORS_PER_LOAD_REPORT_CONNECTION
+        self._available = descriptors - self.load_report_connections - RESERVED_DESCRIPTORS
 
-        # Client connections that carry no request, the one idle for longest first; values are unused.
+        # Client connections without a request, longest idle first; the values are unused.
         self._reclaimable: dict[trio.CancelScope, None] = {}
         self._closed_log = RateLimitedLog("idle_connections_closed")
 
     @contextmanager
     def acquire(self) -> Iterator[bool]:
-        """Hold one descriptor for the length of the block.
+        """Hold one descriptor for the duration of the block.
 
-        Yields False if none is left and no idle connection could be closed for it.
+        Yields False if no descriptor is left and no idle connection could be closed to free one.
         """
         self._available -= 1
         try:
@@ -50,10 +50,10 @@
 
     @contextmanager
     def reclaimable(self, scope: trio.CancelScope) -> Iterator[None]:
-        """Mark a client connection as idle for the length of the block.
+        """Mark a client connection as idle for the duration of the block.
 
-        It waits for its request line, or has its answer. Its scope is cancelled if others need its
-        descriptor.
+        An idle connection waits for its request line or has received its answer. Its scope is cancelled when
+        another connection needs the descriptor.
         """
         self._reclaimable[scope] = None
         try:
@@ -62,11 +62,12 @@
             self._reclaimable.pop(scope, None)
 
     def reclaim_oldest(self) -> bool:
-        """Close the client connection that has been idle for longest; False if there is none."""
+        """Close the client connection that has been idle longest; return False if there is none."""
         scope = next(iter(self._reclaimable), None)
         if scope is None:
             return False
-        # Here, not when its task ends: two callers in one tick must not count on the same descriptor.
+        # Removed here, not when its task ends, so that two callers in one tick cannot both count on the same
+        # descriptor.
         del self._reclaimable[scope]
         scope.cancel()
         self._closed_log.count(f"idle {len(self._reclaimable)}")
--- a/walkloom/transport/line_stream.py
+++ b/walkloom/transport/line_stream.py
@@ -1,4 +1,4 @@
-"""Lines over one TCP stream, of a client connection or an upstream connection."""
+"""Reads and writes lines over the TCP stream of a client connection or an upstream connection."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 T = TypeVar("T")
 
-# Longest line that the protocol allows, its CRLF included.
+# Longest line that the protocol allows, including its CRLF.
 MAX_LINE_BYTES = 4096
 
-# Bytes asked of the socket in one read.
+# Largest number of bytes per read from the socket.
 RECEIVE_BYTES = 16_384
 
-# How long the other side may take to end its sending after ours has ended.
+# After our FIN, how long the peer may take to send its own.
 LINGER_S = 0.8
 
-# Bytes that may still come from the other side meanwhile, unread.
+# Largest number of received bytes that one call discards.
 MAX_DISCARDED_BYTES = 8 << 20
 
-# Errors of send() and recv() by which the kernel says that it lacks memory just now; the connection is sound.
+# Errors of send() and recv() that mean a temporary lack of kernel memory; the connection is still usable.
 MEMORY_SHORTAGE_ERRNOS = (errno.ENOBUFS, errno.ENOMEM)
 
-# How often such a call is repeated, and the pause before: it may last for a second.
+# Number of retries after such an error, and the pause before each: the shortage may last for a second.
 MEMORY_SHORTAGE_RETRIES = 100
 MEMORY_SHORTAGE_PAUSE_S = 0.01
 
-# Errors of connect() that tell of this machine, and nothing of the one that is connected to.
+# Errors of connect() that are caused by this machine and say nothing about the remote one.
 LOCAL_CONNECT_ERRNOS = (
     errno.EADDRNOTAVAIL,
     errno.EAGAIN,
@@ -44,10 +44,10 @@
     errno.ENOMEM,
 )
 
-# SO_LINGER on, with a time of 0 s: closing the socket sends a reset.
+# SO_LINGER enabled with a timeout of 0 s: closing the socket sends a reset.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
-# Target of reads whose bytes are dropped; with MSG_TRUNC Linux does not even copy them.
+# Target of reads whose bytes are discarded; with MSG_TRUNC Linux does not even copy them.
 _DISCARD_BUFFER = bytearray(1 << 18)
 
 
@@ -60,9 +60,9 @@
 
 
 class LineStream:
-    """One TCP stream, read by lines.
+    """One TCP stream that is read line by line.
 
-    Reads raise LineError, and trio.BrokenResourceError if the connection broke.
+    Reads raise LineError if a line is too long, and trio.BrokenResourceError if the connection broke.
     """
 
     def __init__(self, stream: trio.SocketStream) -> None:
@@ -70,14 +70,14 @@
         self._buffer = bytearray()
         self._send_lock = trio.Lock()
 
-        # What was given to `send` and has not gone out, also by a task that was cancelled.
+        # Data that was passed to `send` and is not sent yet, including data of cancelled tasks.
         self._unsent = bytearray()
 
-        # Whether the other side has ended its sending.
+        # Whether the peer has sent its FIN.
         self.ended = False
 
     async def read_line(self) -> bytes:
-        """Return the next line with its end; nothing once the stream has ended."""
+        """Return the next line including its line end; empty once the stream has ended."""
         end = self._buffer.find(b"\n") + 1
         while end == 0:
             _check_line_length(len(self._buffer))
@@ -88,7 +88,7 @@
         return self._take(end)
 
     async def read_complete_lines(self) -> bytes:
-        """Return all whole lines that have come; at the end of the stream the rest, then nothing."""
+        """Return all complete lines received; at the end of the stream the remaining bytes, then empty."""
         end = self._buffer.rfind(b"\n") + 1
         while end == 0:
             _check_line_length(len(self._buffer))
@@ -99,29 +99,29 @@
 
     @property
     def has_buffered_input(self) -> bool:
-        """Whether something has come that no read has returned."""
+        """Whether data was received that no read has returned yet."""
         return bool(self._buffer)
 
     async def wait_for_input(self) -> bool:
-        """Wait until the other side sends something more; False if it ends or breaks instead."""
+        """Wait for more data from the peer; return False if the stream ends or breaks instead."""
         with suppress(trio.BrokenResourceError):
             return await self._receive()
         return False
 
     async def send(self, data: bytes) -> None:
-        """Send all of it, and before it what a cancelled task has left.
+        """Send all of the data, after any data that a cancelled task left unsent.
 
-        A line that a cancelled task had begun is completed first: it would otherwise be lost, and the next
-        line (an answer, MOVE) would land within its first half.
+        A line that a cancelled task began is completed first. Otherwise its rest would be lost, and the next
+        line (an answer, MOVE) would be appended to its first half.
 
-        Raises trio.ClosedResourceError if another task of ours has closed the stream, else
-        trio.BrokenResourceError.
+        Raises trio.ClosedResourceError if another task of this process closed the stream, and
+        trio.BrokenResourceError on any other error.
         """
         self._unsent += data
         async with self._send_lock:
             try:
                 while self._unsent:
-                    sent_bytes = await _retry_in_memory_shortage(self._send_part)
+                    sent_bytes = await _retry_on_memory_shortage(self._send_part)
                     del self._unsent[:sent_bytes]
             except OSError as error:
                 if self._stream.socket.fileno() < 0:
@@ -129,15 +129,15 @@
                 raise trio.BrokenResourceError(str(error)) from error
 
     async def send_eof(self) -> None:
-        """End our sending with a FIN."""
+        """Send a FIN; errors of a closed or broken stream are ignored."""
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             await self._stream.send_eof()
 
-    async def close_gently(self) -> None:
-        """Send a FIN, then discard what comes until the other side ends, and close.
+    async def close_gracefully(self) -> None:
+        """Send a FIN, discard input until the peer sends its FIN, and close.
 
-        Closing with unread bytes sends a reset, which can overtake the last line. Bounded by LINGER_S and
-        MAX_DISCARDED_BYTES.
+        Closing a socket with unread bytes sends a reset, which can overtake the last line. Bounded by
+        LINGER_S and MAX_DISCARDED_BYTES.
         """
         with trio.move_on_after(LINGER_S), suppress(OSError, trio.ClosedResourceError):
             await self.send_eof()
@@ -149,8 +149,8 @@
                 remaining_bytes -= discarded_bytes
         await self.close()
 
-    async def drain(self) -> None:
-        """Discard what has come by now, MAX_DISCARDED_BYTES at most."""
+    async def discard_received(self) -> None:
+        """Discard the input received so far, MAX_DISCARDED_BYTES at most."""
         remaining_bytes = MAX_DISCARDED_BYTES
         with suppress(OSError, trio.ClosedResourceError):
             while remaining_bytes > 0 and self._stream.socket.is_readable():
@@ -160,7 +160,7 @@
                 remaining_bytes -= discarded_bytes
 
     async def close(self) -> None:
-        """Close the stream without waiting for the other side."""
+        """Close the stream without waiting for the peer."""
         await trio.aclose_forcefully(self._stream)
 
     async def reset(self) -> None:
@@ -170,8 +170,8 @@
         await self.close()
 
     async def _receive(self) -> bool:
-        """Read more into the buffer; False once the stream has ended."""
-        data = b"" if self.ended else await _retry_in_memory_shortage(self._receive_part)
+        """Read more data into the buffer; return False once the stream has ended."""
+        data = b"" if self.ended else await _retry_on_memory_shortage(self._receive_part)
         self.ended = not data
         self._buffer += data
         return not self.ended
@@ -189,14 +189,14 @@
         return data
 
     async def _discard(self) -> int:
-        """Read once and drop what came; return its length, 0 at the end of the stream."""
+        """Read once and discard the data; return its length, 0 at the end of the stream."""
         return await self._stream.socket.recv_into(_DISCARD_BUFFER, 0, socket.MSG_TRUNC)
 
 
 async def open_line_stream(address: SocketAddress) -> LineStream | None:
-    """Connect to an address; None if nothing accepts there.
+    """Connect to an address; return None if the remote side does not accept the connection.
 
-    Raises OSError if this machine lacks a descriptor, a port or memory for it.
+    Raises OSError if this machine lacks a descriptor, a port or memory for the connection.
     """
     sock = trio.socket.socket()
     try:
@@ -212,8 +212,8 @@
     return LineStream(trio.SocketStream(sock))
 
 
-async def _retry_in_memory_shortage(call: Callable[[], Awaitable[T]]) -> T:
-    """Make a call of a socket; where the kernel lacks memory for it, make it again after a pause."""
+async def _retry_on_memory_shortage(call: Callable[[], Awaitable[T]]) -> T:
+    """Make a socket call, and retry it after a pause while the kernel lacks memory for it."""
     for _ in range(MEMORY_SHORTAGE_RETRIES):
         try:
             return await call()
@@ -226,7 +226,7 @@
 
 
 def first_word(line: bytes) -> bytes:
-    """Return what stands before the first white space of a line; nothing for an empty line."""
+    """Return the first word of a line; empty for a blank line."""
     words = line.split(None, 1)
     return words[0] if words else b""
 
--- a/walkloom/transport/rate_limited_log.py
+++ b/walkloom/transport/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Log events that may come by the thousand, as one line a second with their count."""
+"""Logs frequent events as one line a second with their count."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 log = logging.getLogger("walkloom")
 
-# Writing a line for each of thousands of events a second would take the CPU that connections need.
+# One line for each of thousands of events a second would take the CPU time that connections need.
 MIN_INTERVAL_S = 1.0
 
 
 class RateLimitedLog:
-    """One kind of event, logged once a second at most, as `event count=N last='...'`."""
+    """Logs one kind of event at most once a second, as `event count=N last='...'`."""
 
     def __init__(self, event: str) -> None:
         self._event = event
@@ -22,7 +22,7 @@
         self._logged_at = -math.inf
 
     def count(self, last: str) -> None:
-        """Count one event, and log the count if the interval is over; last: what to say of this one."""
+        """Count one event, and log the count if the interval is over; last: description of this event."""
         self._count_since_logged += 1
         now = trio.current_time()
         if now - self._logged_at >= MIN_INTERVAL_S:
