--- a/walkloom/discovery/codec.py
+++ b/walkloom/discovery/codec.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from walkloom.config import SettingNames, address
+from walkloom.config import SettingNames, parse_address
 from walkloom.discovery.errors import MalformedEndpointListError
 from walkloom.messages import Endpoint, EndpointId, EndpointListUpdate, Lifecycle, UpdateKind
 from walkloom.transport.address import SocketAddress
@@ -89,7 +89,7 @@
         try:
             endpoint = _decode_endpoint(entry, names)
             if endpoint.lifecycle is not Lifecycle.REMOVED:
-                addresses[endpoint.id] = address(entry["hostPort"])
+                addresses[endpoint.id] = parse_address(entry["hostPort"])
         except _PARSE_ERRORS as error:  # an invalid entry must not discard the rest of the list
             invalid_entries.append(f"{error!r} in {entry!r}")
         else:
--- a/walkloom/frontends/quic/settings.py
+++ b/walkloom/frontends/quic/settings.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from walkloom.config import ConfigError, SettingNames, address
+from walkloom.config import ConfigError, SettingNames, parse_address
 from walkloom.frontends.quic.connection_id import ConnectionIdFormat
 from walkloom.transport.address import SocketAddress
 
@@ -86,7 +86,7 @@
     endpoints = tuple(_parse_endpoint(name, entry) for name, entry in data["servers"].items())
     _check_server_ids(endpoints, connection_id_format)
     return QuicConfig(
-        listen=address(data["listen"]),
+        listen=parse_address(data["listen"]),
         connection_id_format=connection_id_format,
         request_class=names.classes.index(data["class"]),
         tenant=names.tenants.index(data["tenant"]) if names.tenants else 0,
@@ -98,7 +98,7 @@
 
 def _parse_endpoint(name: str, entry: Mapping[str, Any]) -> QuicEndpoint:
     return QuicEndpoint(
-        endpoint_id=name, server_id=bytes.fromhex(entry["id"]), address=address(entry["address"])
+        endpoint_id=name, server_id=bytes.fromhex(entry["id"]), address=parse_address(entry["address"])
     )
 
 
