--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Long runs and measurements; none of them is part of the tests."""
+"""Benchmarks: long runs and measurements that the test suite does not start."""
--- a/benchmarks/client/__init__.py
+++ b/benchmarks/client/__init__.py
@@ -1,11 +1,12 @@
-"""What a drain and an outage do, by how the clients retry: python -m benchmarks.client.
+"""Benchmarks of the client library: python -m benchmarks.client.
 
-Real balancers as processes and stub servers on loopback. Seeded, bounded, about a minute and a half.
+Balancers run as real processes, with stub servers on loopback. The runs are seeded and bounded; all of them
+take about a minute and a half.
 
-    fleet_scenarios   the drain of a full server and the outage of all servers, with viewers that retry at
-                      once, with plain exponential backoff, with the library as one client, and as eight
-    deadlines         the library against balancers that never answer regularly: no attempt may start or be
-                      alive after its deadline
+    fleet_scenarios   the drain of a full server and the outage of all servers, with viewers that retry
+                      immediately, with exponential backoff, with the library as one client, and as eight
+    deadlines         the library with balancers that answer irregularly or not at all: no attempt may start
+                      after its deadline or last beyond it
     many_sessions     memory and CPU of many established sessions in one process
     viewers           the viewers of the fleet scenarios, with and without the library
 """
--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -1,8 +1,9 @@
-"""One balancer before 200 and 3,200 servers, with the same traffic: `python -m benchmarks.fleet_growth`.
+"""The cost of one balancer with 200 and with 3,200 servers: `python -m benchmarks.fleet_growth`.
 
-Printed for both sizes and as their ratio, beside what the platform's page "Standing test" allows: processor
-time, peak memory, most descriptors, connections made to servers, and bytes of lists while servers change.
-All servers of the list share one address, where a stand-in serves; the balancer knows them by their names.
+Both runs have the same traffic, and the endpoint list changes all the time. For both sizes the program prints
+the CPU time in s, the peak memory in MB, the peak number of open descriptors, the connections made to servers
+and the kB of endpoint lists sent to the balancer, and whether the larger fleet stays within the limits of the
+platform's page "Standing test". All servers share the address of one stand-in; their names tell them apart.
 """
 
 from __future__ import annotations
@@ -25,18 +26,18 @@
 from walkloom.lab.soak.process import SoakProcess
 from walkloom.lab.soak.server import RecordingServer
 
-SMALL, LARGE = 200, 3200
+SMALL_FLEET_SIZE, LARGE_FLEET_SIZE = 200, 3200
 DURATION_S = 20.0
 REQUEST_RATE = 20.0
-# So often the list changes: one server drains, and the one before is ready again.
+# At each change one server starts to drain, and the previous one becomes ready again.
 CHANGE_INTERVAL_S = 0.2
 SAMPLE_INTERVAL_S = 0.2
-_USER_TIME_FIELD = 11
+_USER_TIME_FIELD = 11  # index of utime in /proc/PID/stat after the command name; stime follows
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What one balancer needed."""
+    """The resources that one balancer used."""
 
     cpu_s: float
     peak_memory_mb: float
@@ -45,18 +46,19 @@
     list_kb: float
 
 
-# What the larger fleet may need, from what the smaller one needed and the thousands of its servers.
+# The limit of each cost of the larger fleet, from the smaller fleet's cost and the number of servers of the
+# larger one in thousands.
 LIMITS: dict[str, Callable[[float, float], float]] = {
-    "cpu_s": lambda small, thousands: 1.4 * small + 0.02 + 0.12 * thousands,
-    "peak_memory_mb": lambda small, thousands: 1.5 * small + 8.0 + 4.0 * thousands,
+    "cpu_s": lambda small, thousand_servers: 1.4 * small + 0.02 + 0.12 * thousand_servers,
+    "peak_memory_mb": lambda small, thousand_servers: 1.5 * small + 8.0 + 4.0 * thousand_servers,
     "descriptors": lambda small, _: 2.0 * small + 40.0,
     "connections": lambda small, _: 2.5 * small + 40.0,
-    "list_kb": lambda small, thousands: 2.0 * small + 64.0 + 500.0 * thousands,
+    "list_kb": lambda small, thousand_servers: 2.0 * small + 64.0 + 500.0 * thousand_servers,
 }
 
 
 async def measure(server_count: int) -> Cost:
-    """Run one balancer before so many servers."""
+    """Run one balancer with that many servers in its endpoint list, and return its cost."""
     deployment = Deployment(
         balancer_count=200,
         process_count=1,
@@ -77,7 +79,7 @@
             server.start()
             for number in range(server_count):
                 discovery.put(f"s-{number}", server.address, "here")
-            process = _start(deployment, discovery, host, history, Path(folder))
+            process = _start_balancer(deployment, discovery, host, history, Path(folder))
             try:
                 await process.wait_until_ready()
                 cost = await _run_traffic(deployment, discovery, server, process, history)
@@ -87,7 +89,7 @@
     return cost
 
 
-def _start(
+def _start_balancer(
     deployment: Deployment, discovery: FaultyDiscovery, host: LoopbackHost, history: History, folder: Path
 ) -> SoakProcess:
     address = f"{host.address}:{host.next_port()}"
@@ -159,14 +161,17 @@
 
 
 def main() -> None:
-    """Measure both sizes and print them beside the limits."""
-    small, large = trio.run(measure, SMALL), trio.run(measure, LARGE)
-    print(f"| what | {SMALL} servers | {LARGE} servers | allowed | |\n|---|---|---|---|---|")
+    """Measure both fleet sizes and print the costs beside the limits."""
+    small, large = trio.run(measure, SMALL_FLEET_SIZE), trio.run(measure, LARGE_FLEET_SIZE)
+    print(
+        f"| what | {SMALL_FLEET_SIZE} servers | {LARGE_FLEET_SIZE} servers | allowed | |\n"
+        "|---|---|---|---|---|"
+    )
     for name, limit in LIMITS.items():
-        before, after = float(getattr(small, name)), float(getattr(large, name))
-        allowed = limit(before, LARGE / 1000.0)
-        verdict = "kept" if after <= allowed else "OVER"
-        print(f"| {name} | {before:.2f} | {after:.2f} | {allowed:.2f} | {verdict} |")
+        small_value, large_value = float(getattr(small, name)), float(getattr(large, name))
+        allowed = limit(small_value, LARGE_FLEET_SIZE / 1000.0)
+        result = "kept" if large_value <= allowed else "OVER"
+        print(f"| {name} | {small_value:.2f} | {large_value:.2f} | {allowed:.2f} | {result} |")
 
 
 if __name__ == "__main__":
