--- a/tests/characterisation/lab_simulator_adapter.py
+++ b/tests/characterisation/lab_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Every name of the program that the characterisation of the simulator uses, and the neutral words."""
+"""Maps the neutral words of the simulator's characterisation to the names in the program."""
 
 from __future__ import annotations
 
@@ -51,18 +51,18 @@
 }
 
 
-def day(**sizes: Any) -> list[tuple[object, ...]]:
-    """The record of one run of the simulator."""
+def run_experiment(**sizes: Any) -> list[tuple[object, ...]]:
+    """Return the records of one run of the simulator."""
     return _records(simulator.run(simulator.Experiment(**_named(sizes))))
 
 
-def release(**sizes: Any) -> list[tuple[object, ...]]:
-    """The record of one run of a release."""
+def run_release(**sizes: Any) -> list[tuple[object, ...]]:
+    """Return the records of one run of a release."""
     return _records(rollout.run(rollout.Rollout(**_named(sizes))))
 
 
-def several(processes: int, *sizes: dict[str, Any]) -> list[tuple[object, ...]]:
-    """The records of several runs, in order."""
+def run_experiments(processes: int, *sizes: dict[str, Any]) -> list[tuple[object, ...]]:
+    """Return the records of several runs, in order."""
     results = simulator.run_all([simulator.Experiment(**_named(each)) for each in sizes], processes)
     return [record for result in results for record in _records(result)]
 
@@ -72,8 +72,8 @@
 
 
 def _records(result: simulator.Result) -> list[tuple[object, ...]]:
-    """What two runs of one experiment agree on; of a rule violation its time alone."""
-    kept = result.reproducible()
+    """Return the fields that are equal in all runs of one experiment; of a rule violation only its time."""
+    kept = result.reproducible_fields()
     records: list[tuple[object, ...]] = [
         (word, _plain(kept.pop(name))) for word, name in NUMBERS.items() if name in kept
     ]
--- a/tests/lab/test_rollout.py
+++ b/tests/lab/test_rollout.py
@@ -1,4 +1,4 @@
-"""Many modules on one clock before shared servers that replace one another while the modules restart."""
+"""Many balancers in virtual time and their shared servers, which are replaced while the balancers restart."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from walkloom.lab.rollout import Rollout, RolloutSimulator, run
 
-ROLL = Rollout(
+RELEASE = Rollout(
     server_count=52, balancer_count=186, duration_s=25.0, connection_rate_per_server=0.38, server_capacity=32
 )
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_groups_keep_to_few_servers_through_a_release(seed: int) -> None:
-    """A regression test.
+def test_affinity_groups_stay_on_few_servers_during_a_release(seed: int) -> None:
+    """Guards against affinity groups that spread to more and more servers.
 
-    Each balancer passed over a group's server where that was cold or near its limit, so that the group spread
-    to ever more servers, each of which needs capacity for it.
+    Each balancer skipped a group's server that was cold or close to its limit and chose another server, and
+    every server that holds connections of a group needs capacity for it.
     """
-    result = run(replace(ROLL, seed=seed))
+    result = run(replace(RELEASE, seed=seed))
     assert result.violations == []
     assert max(result.server_group_pairs) <= 200
     assert result.served_share > 0.75
@@ -57,18 +57,18 @@
     ids=["few", "few, no groups", "one group", "hundreds"],
 )
 def test_a_release_breaks_no_rule_at_any_size(changes: dict[str, object], least: float) -> None:
-    result = run(replace(ROLL, **changes))  # type: ignore[arg-type]
+    result = run(replace(RELEASE, **changes))  # type: ignore[arg-type]
     assert result.violations == [] and result.served_share > least, result.served_share
 
 
 def test_a_run_is_reproducible_by_its_seed() -> None:
-    small = replace(ROLL, server_count=12, balancer_count=9, initial_connections=60, duration_s=8.0)
-    first, second, other = (run(replace(small, seed=seed)).reproducible() for seed in (1, 1, 2))
+    small = replace(RELEASE, server_count=12, balancer_count=9, initial_connections=60, duration_s=8.0)
+    first, second, other = (run(replace(small, seed=seed)).reproducible_fields() for seed in (1, 1, 2))
     assert first == second != other
 
 
 def test_an_overloaded_cold_server_is_recorded_as_a_violation() -> None:
-    simulator = RolloutSimulator(replace(ROLL, server_count=4, balancer_count=3, initial_connections=0))
+    simulator = RolloutSimulator(replace(RELEASE, server_count=4, balancer_count=3, initial_connections=0))
     server = simulator.servers.add(started_at_ms=simulator.queue.now_ms)
     for _ in range(16):
         assert simulator.servers.receive_attempt(server)
--- a/walkloom/lab/rollout/__init__.py
+++ b/walkloom/lab/rollout/__init__.py
@@ -1,15 +1,15 @@
-"""A simulated release: servers are replaced in steps while the balancers restart by tenths.
+"""Simulates a release: servers are replaced in steps while the balancers restart, a tenth at a time.
 
-Built on `walkloom.lab.simulator`, with what such a day needs beside it: zones, affinity groups that need
-capacity at every server that holds one of their connections, load reports that come late, cold servers and
-the count of attempts that overloads one (rule 4), servers that hang. It measures the pairs of server and
-group, whose cost a fleet bears and no single balancer sees.
+Extends `walkloom.lab.simulator` with zones, affinity groups that need capacity at every server that holds one
+of their connections, delayed load reports, cold servers that too many attempts overload (rule 4), and servers
+that hang. It measures the number of pairs of a server and a group: each pair costs capacity of the fleet, and
+no single balancer can observe that total.
 
-    simulator        wires the models together and schedules the release
+    simulator        connects the models and schedules the release
     server_pool      servers that start cold, need capacity for each affinity group, and may hang
     balancer_pool    balancers in zones, some of them shutting down
-    monitor          samples of the service, and the backlog of overloaded servers
-    experiment       what is played and what was measured
+    monitor          samples the service, and simulates the backlog of overloaded servers
+    experiment       parameters and measurements
 """
 
 from walkloom.lab.rollout.experiment import Rollout, RolloutResult
--- a/walkloom/lab/rollout/balancer_pool.py
+++ b/walkloom/lab/rollout/balancer_pool.py
@@ -1,4 +1,4 @@
-"""The balancers of a release."""
+"""The balancers of a simulated release."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RolloutBalancerPool(BalancerPool):
-    """Balancers in zones, of which some are shutting down."""
+    """Balancers in zones; some of them may be shutting down."""
 
     def __init__(
         self,
@@ -27,10 +27,10 @@
         super().__init__(settings, seed, queue, rules, result, random)
         self.shutting_down = set[int]()
 
-    def choose(self, client: ModelClient) -> int:
-        """Draw a balancer that is not shutting down: in the client's zone, else in any, else any at all."""
+    def choose_balancer(self, client: ModelClient) -> int:
+        """Draw a running balancer in the client's zone, or any balancer at all if that zone has none."""
         zones = self.settings.zone_count
-        up = [balancer for balancer in range(len(self)) if balancer not in self.shutting_down]
-        local = [balancer for balancer in up if balancer % zones == client.zone]
+        running = [balancer for balancer in range(len(self)) if balancer not in self.shutting_down]
+        local = [balancer for balancer in running if balancer % zones == client.zone]
         candidates = local or list(range(len(self)))
         return candidates[int(self._random.integers(len(candidates)))]
--- a/walkloom/lab/rollout/monitor.py
+++ b/walkloom/lab/rollout/monitor.py
@@ -1,4 +1,4 @@
-"""Samples of the service during a release, and the overload of its servers."""
+"""Samples the service during a release, and simulates the overload of its servers."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from walkloom.lab.simulator.service_monitor import SAMPLE_INTERVAL_MS, ServiceMonitor
 from walkloom.messages import AttemptStatus
 
-BACKLOG_LATE_S = 0.06  # of work, beyond which a server answers nothing in time
-BACKLOG_SHED_S = 1.5  # of work, beyond which a server resets connections
-SHED_TO_UTILIZATION = 0.9  # an overloaded server resets its heaviest connections down to it
-KEPT_LOAD_REPORTS = 5  # samples, which cover more than the delay of a load report
+MAX_TIMELY_BACKLOG_S = 0.06  # with a longer backlog of work a server answers no message in time
+MAX_BACKLOG_S = 1.5  # with a longer backlog of work a server sheds load: it resets connections
+SHEDDING_TARGET_UTILIZATION = 0.9  # to which a server sheds load, its heaviest connections first
+KEPT_LOAD_REPORTS = 5  # one per sample; together they must cover more than the delay of a load report
 
 
 class RolloutMonitor(ServiceMonitor):
-    """Samples that also let the backlog of overloaded servers grow, until they reset connections."""
+    """Also updates the backlog of each server at every sample; a server with too much backlog sheds load."""
 
     def __init__(
         self, queue: EventQueue, servers: RolloutServerPool, requests: RequestLifecycle, result: RolloutResult
@@ -26,28 +26,31 @@
         self._rollout_servers = servers
         self._rollout_result = result
 
-    def sample(self) -> None:
-        """Take one sample, the pairs of servers and groups included."""
-        super().sample()
+    def take_sample(self) -> None:
+        """Take one sample, including the pairs of a server and a group, and schedule the next."""
+        super().take_sample()
         self._rollout_result.server_group_pairs.append(self._rollout_servers.server_group_pairs())
 
     def timely_share(self, server: ModelServer) -> float:
-        """Return 1.0 or 0.0: a server answers everything late while its backlog is long."""
-        details = self._rollout_servers.details[server.id]
+        """Return 1.0, or 0.0 while the server hangs or its backlog delays all answers.
+
+        Also records the server's load report of this sample and updates its backlog.
+        """
+        state = self._rollout_servers.server_states[server.id]
         utilization = self.servers.utilization(server)
         report = LoadReport(self.queue.now_ms, float(len(server.clients)), utilization)
-        details.load_reports = [*details.load_reports[1 - KEPT_LOAD_REPORTS :], report]
-        backlog_s = details.backlog_s + (utilization - 1.0) * SAMPLE_INTERVAL_MS / 1000.0
-        details.backlog_s = max(backlog_s, 0.0)
-        if details.backlog_s > BACKLOG_SHED_S:
-            details.backlog_s = 0.0
+        state.load_reports = [*state.load_reports[1 - KEPT_LOAD_REPORTS :], report]
+        backlog_s = state.backlog_s + (utilization - 1.0) * SAMPLE_INTERVAL_MS / 1000.0
+        state.backlog_s = max(backlog_s, 0.0)
+        if state.backlog_s > MAX_BACKLOG_S:
+            state.backlog_s = 0.0
             self._shed_load(server)
-        return float(details.backlog_s <= BACKLOG_LATE_S and not details.is_hung)
+        return float(state.backlog_s <= MAX_TIMELY_BACKLOG_S and not state.is_hung)
 
     def _shed_load(self, server: ModelServer) -> None:
         heaviest_first = sorted(server.clients.values(), key=lambda client: client.load, reverse=True)
         for client in heaviest_first:
-            if self.servers.utilization(server) < SHED_TO_UTILIZATION:
+            if self.servers.utilization(server) < SHEDDING_TARGET_UTILIZATION:
                 break
             self._rollout_result.reset_count += 1
             self.requests.disconnect_and_reconnect(client, client.request_id, AttemptStatus.CONNECTION_RESET)
--- a/walkloom/lab/rollout/simulator.py
+++ b/walkloom/lab/rollout/simulator.py
@@ -1,4 +1,4 @@
-"""One run of a release: its models wired together, and what happens when."""
+"""One run of a release: connects the models and schedules the release."""
 
 from __future__ import annotations
 
@@ -18,21 +18,22 @@
 from walkloom.lab.simulator.workload import draw_clients, draw_lifetimes_ms, draw_loads
 from walkloom.messages import AttemptStatus, EndpointListUpdate, Lifecycle, Settings, UpdateKind
 
-REPLACEMENT_START_MS = 2500.0  # from the drain of a server to the start of the one that replaces it
-HUNG_CONNECTION_MS = 4000.0  # after which a balancer gives up the connections of a server that hangs
-STEPS = 10  # of the replacement of servers, and of the restarts of balancers
-REPLACEMENT_BEGIN = 0.2  # as shares of the run
-REPLACEMENT_STEP = 0.04
-RESTART_BEGIN = 0.1
-RESTART_STEP = 0.06
-HANG_TIME = 0.1
-MIGRATION_DELAY_MS = 2000.0  # of a balancer that shuts down
-MIGRATION_SPREAD_MS = 900.0  # over which it then migrates all connections evenly
-RESTART_MS = 4000.0  # from the start of a balancer's shutdown to its new process
+REPLACEMENT_DELAY_MS = 2500.0  # from the drain of a server to the start of the one that replaces it
+HUNG_CONNECTION_TIMEOUT_MS = 4000.0  # after which a balancer resets the connections of a server that hangs
+STEP_COUNT = 10  # servers are replaced, and balancers restarted, in this many steps
+# Start times and intervals between steps, as shares of the run
+REPLACEMENT_START_SHARE = 0.2
+REPLACEMENT_STEP_SHARE = 0.04
+RESTART_START_SHARE = 0.1
+RESTART_STEP_SHARE = 0.06
+HANG_TIME_SHARE = 0.1
+MIGRATION_DELAY_MS = 2000.0  # from the start of a balancer's shutdown to the first migration
+MIGRATION_SPREAD_MS = 900.0  # over which all its connections migrate, at uniformly random times
+RESTART_DURATION_MS = 4000.0  # from the start of a balancer's shutdown to its new process
 
 
 class RolloutSimulator(Simulator):
-    """A run of a release."""
+    """A run of one release."""
 
     experiment: Rollout
     result: RolloutResult
@@ -70,18 +71,18 @@
 
     # Clients
 
-    def _clients(self) -> Iterator[tuple[float, ModelClient]]:
+    def _draw_clients(self) -> Iterator[tuple[float, ModelClient]]:
         self._place_initial_connections()
-        for arrival_ms, client in draw_clients(self.experiment, self.random):
+        for arrives_at_ms, client in draw_clients(self.experiment, self.random):
             self._assign_zone_and_group(client)
-            yield arrival_ms, client
+            yield arrives_at_ms, client
 
     def _place_initial_connections(self) -> None:
-        initial = self._draw_initial_clients()
-        initial.sort(key=lambda client: client.affinity_group)
+        initial_clients = self._draw_initial_clients()
+        initial_clients.sort(key=lambda client: client.affinity_group)
         servers = list(self.servers.servers.values())
-        for n, client in enumerate(initial):
-            self.requests.adopt(client, servers[n * len(servers) // len(initial)])
+        for n, client in enumerate(initial_clients):
+            self.requests.adopt(client, servers[n * len(servers) // len(initial_clients)])
 
     def _draw_initial_clients(self) -> list[ModelClient]:
         count = self.experiment.initial_connections
@@ -109,53 +110,57 @@
 
     def _schedule_faults(self) -> None:
         servers = list(self.servers.servers.values())
-        chosen = [servers[n] for n in self.random.permutation(len(servers))]
-        replaced = round(self.experiment.replaced_share * len(servers))
-        for n in range(replaced):
-            time_share = REPLACEMENT_BEGIN + REPLACEMENT_STEP * (STEPS * n // replaced)
-            self.queue.schedule(self.start_ms + self.duration_ms * time_share, self._replace, chosen.pop())
+        shuffled_servers = [servers[n] for n in self.random.permutation(len(servers))]
+        replaced_count = round(self.experiment.replaced_share * len(servers))
+        for n in range(replaced_count):
+            time_share = REPLACEMENT_START_SHARE + REPLACEMENT_STEP_SHARE * (STEP_COUNT * n // replaced_count)
+            self.queue.schedule(
+                self.start_time_ms + self.duration_ms * time_share, self._replace, shuffled_servers.pop()
+            )
         for _ in range(round(self.experiment.hung_share * len(servers))):
-            self.queue.schedule(self.start_ms + self.duration_ms * HANG_TIME, self._hang, chosen.pop())
+            self.queue.schedule(
+                self.start_time_ms + self.duration_ms * HANG_TIME_SHARE, self._hang, shuffled_servers.pop()
+            )
         if self.experiment.restarts_balancers:
             self._schedule_restarts()
 
     def _schedule_restarts(self) -> None:
         balancer_count = len(self.balancers)
         for n, balancer in enumerate(self.random.permutation(balancer_count)):
-            time_share = RESTART_BEGIN + RESTART_STEP * (STEPS * n // balancer_count)
-            shutdown_ms = self.start_ms + self.duration_ms * time_share
-            self.queue.schedule(shutdown_ms, self._shut_down_balancer, int(balancer))
+            time_share = RESTART_START_SHARE + RESTART_STEP_SHARE * (STEP_COUNT * n // balancer_count)
+            shutdown_at_ms = self.start_time_ms + self.duration_ms * time_share
+            self.queue.schedule(shutdown_at_ms, self._shut_down_balancer, int(balancer))
 
     def _replace(self, server: ModelServer) -> None:
         self.drain(server)
-        self.queue.schedule(self.queue.now_ms + REPLACEMENT_START_MS, self._start_server, server.zone)
+        self.queue.schedule(self.queue.now_ms + REPLACEMENT_DELAY_MS, self._start_server, server.zone)
 
     def _start_server(self, zone: int) -> None:
-        self.announce(self.servers.add(zone, self.queue.now_ms), Lifecycle.READY)
+        self.announce_lifecycle(self.servers.add(zone, self.queue.now_ms), Lifecycle.READY)
 
     def _hang(self, server: ModelServer) -> None:
-        self.servers.details[server.id].is_hung = True
-        reset_ms = self.queue.now_ms + HUNG_CONNECTION_MS
+        self.servers.server_states[server.id].is_hung = True
+        resets_at_ms = self.queue.now_ms + HUNG_CONNECTION_TIMEOUT_MS
         for client in list(server.clients.values()):
-            self._schedule_reconnect(reset_ms, client, AttemptStatus.CONNECTION_RESET)
+            self._schedule_reconnect(resets_at_ms, client, AttemptStatus.CONNECTION_RESET)
 
     def _shut_down_balancer(self, balancer: int) -> None:
-        """Stop new requests to a balancer, migrate its connections, then restart it."""
+        """Stop new requests to a balancer, schedule the migration of its connections, and its restart."""
         self.balancers.shutting_down.add(balancer)
         now_ms = self.queue.now_ms
-        for client in self.requests.open_clients_of(balancer):
+        for client in self.requests.get_clients_at(balancer):
             if client.connected_server is not None:
                 spread_ms = float(self.random.uniform(0.0, MIGRATION_SPREAD_MS))
-                migration_ms = now_ms + (MIGRATION_DELAY_MS + spread_ms)
-                self._schedule_reconnect(migration_ms, client, AttemptStatus.CANCELLED)
-        self.queue.schedule(now_ms + RESTART_MS, self._restart_balancer, balancer)
+                migrates_at_ms = now_ms + (MIGRATION_DELAY_MS + spread_ms)
+                self._schedule_reconnect(migrates_at_ms, client, AttemptStatus.CANCELLED)
+        self.queue.schedule(now_ms + RESTART_DURATION_MS, self._restart_balancer, balancer)
 
     def _schedule_reconnect(self, time_ms: float, client: ModelClient, status: AttemptStatus) -> None:
         reconnect = self.requests.disconnect_and_reconnect
         self.queue.schedule(time_ms, reconnect, client, client.request_id, status)
 
     def _restart_balancer(self, balancer: int) -> None:
-        for client in self.requests.open_clients_of(balancer):
+        for client in self.requests.get_clients_at(balancer):
             if client.connected_server is not None:
                 self.requests.disconnect_and_reconnect(client, client.request_id, AttemptStatus.CANCELLED)
             elif not client.request_closed:
--- a/walkloom/lab/simulator/__init__.py
+++ b/walkloom/lab/simulator/__init__.py
@@ -1,26 +1,28 @@
-"""A simulation of a fleet in virtual time: the real balancing policy, before models of everything else.
+"""Simulates a fleet in virtual time: the real balancing policy runs against models of everything else.
 
-It answers what a change does at sizes that no loopback interface can hold. Every balancer is a
-`walkloom.balancer.Balancer` that receives the events that the engine would pass to it; the network, the
-servers, endpoint discovery and the clients are models. Every random value comes from a numpy generator made
-from the seed, so that a run is reproducible to the byte.
+It shows the effect of a change on fleets that are too large for the loopback interface of one machine. Every
+balancer is a `walkloom.balancer.Balancer` that receives the events that the engine would pass to it; the
+network, the servers, endpoint discovery and the clients are models. Every random value comes from a numpy
+generator that is created from the seed, so that a run is reproducible to the byte.
 
-From the top:
+Modules, from the top down:
 
-    runner               runs one experiment, or several in processes of their own
-    simulator            wires the models together and schedules the faults of an experiment
+    runner               runs one experiment, or several in separate processes
+    simulator            connects the models and schedules the faults of an experiment
     request_lifecycle    requests of clients: attempts, established connections, migrations, reconnects
-    balancer_pool        the balancers, and the events that they are notified of
-    server_pool          the model servers: load, capacity, load reports
+    balancer_pool        the balancers, and the delivery of events to them
+    server_pool          the simulated servers: load, capacity, load reports
+    action_handler       carries out the actions of the balancers
+    attempts             attempts to establish a connection at a server
     service_monitor      samples the service that clients get
     workload             draws the clients of a run
-    rule_checker         the balancers' rules, checked on every action
+    rule_checker         checks every attempt against the rules of the balancers
     event_queue          the virtual clock
-    models, experiment, result    the values that they share
+    models, experiment, result    the data types that the other modules share
 
-The model leaves out sockets and their limits, the CPU time of a balancer, lost packets, and the connection
-setups per second of a load report (reported as 0; the policy reads load and connections). Zones, affinity
-groups and restarts of balancers are in `walkloom.lab.rollout`.
+The simulation leaves out sockets and their limits, the CPU time of a balancer, lost packets, and the
+connection setups per second of a load report (reported as 0; the policy reads load and connections). Zones,
+affinity groups and restarts of balancers are in `walkloom.lab.rollout`.
 """
 
 from walkloom.lab.simulator.experiment import Experiment
--- a/walkloom/lab/simulator/action_handler.py
+++ b/walkloom/lab/simulator/action_handler.py
@@ -1,4 +1,4 @@
-"""What a simulation does for each action of a balancer."""
+"""Carries out the actions that the balancers of a simulation return."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     TimerFired,
 )
 
-MIN_TIMER_MS = 0.001  # so that a timer that is due at once does not stop the clock
+MIN_TIMER_MS = 0.001  # a timer that is due at once must still advance the clock, or the run would not end
 
 
 class ActionHandler:
-    """Carries out actions; those that have no effect in the model are ignored."""
+    """Carries out actions; actions that have no effect in the simulation are ignored."""
 
     def __init__(
         self,
@@ -50,21 +50,21 @@
             case StartAttempt():
                 self._attempts.start(balancer, action)
             case Reject():
-                if client := self._requests.open_client(action.request_id):
+                if client := self._requests.get_client(action.request_id):
                     self._requests.close_request(client, RequestResult.REJECTED, action.retry_after_ms)
             case Fail():
-                if client := self._requests.open_client(action.request_id):
+                if client := self._requests.get_client(action.request_id):
                     self._requests.close_request(client, RequestResult.FAILED)
             case MigrateConnection():
                 self._migrate(action)
             case StartTimer():
-                fires_ms = max(action.fires_at, self._queue.now_ms + MIN_TIMER_MS)
-                self._queue.schedule(fires_ms, self._balancers.notify, balancer, TimerFired(action.token))
+                fires_at_ms = max(action.fires_at, self._queue.now_ms + MIN_TIMER_MS)
+                self._queue.schedule(fires_at_ms, self._balancers.notify, balancer, TimerFired(action.token))
             case PollLoadReport():
                 self._poll_load_report(balancer, action)
 
     def _migrate(self, action: MigrateConnection) -> None:
-        client = self._requests.open_client(action.request_id)
+        client = self._requests.get_client(action.request_id)
         if client is not None and client.connected_server is not None:
             self._result.migration_count += 1
             self._requests.disconnect_and_reconnect(client, client.request_id, AttemptStatus.CANCELLED)
@@ -72,8 +72,8 @@
     def _poll_load_report(self, balancer: int, action: PollLoadReport) -> None:
         self._result.load_report_polls += 1
         server = self._servers.servers[str(action.endpoint_id)]
-        answered_ms = self._queue.now_ms + 2 * ONE_WAY_DELAY_MS
-        self._queue.schedule(answered_ms, self._deliver_load_report, balancer, server)
+        answered_at_ms = self._queue.now_ms + 2 * ONE_WAY_DELAY_MS
+        self._queue.schedule(answered_at_ms, self._deliver_load_report, balancer, server)
 
     def _deliver_load_report(self, balancer: int, server: ModelServer) -> None:
         load_report = self._servers.load_report(server)
--- a/walkloom/lab/simulator/attempts.py
+++ b/walkloom/lab/simulator/attempts.py
@@ -21,11 +21,11 @@
 )
 
 ONE_WAY_DELAY_MS = 0.5  # between any two machines
-FAILING_ERROR_RATE = 0.9  # of the setups at a failing server
+FAILING_ERROR_RATE = 0.9  # share of the setups that a failing server answers with an error
 
 
 class AttemptModel:
-    """Plays each attempt: on its way, in the server's setup queue, and its outcome."""
+    """Simulates each attempt: network delay, wait in the server's setup queue, and outcome."""
 
     def __init__(
         self,
@@ -46,9 +46,12 @@
         self._result = result
 
     def start(self, balancer: int, action: StartAttempt) -> None:
-        """Start the attempt that a balancer asks for."""
+        """Start the attempt that a balancer requested, and schedule its timeout.
+
+        Records a violation if the request is not open at this balancer.
+        """
         now_ms = self._queue.now_ms
-        client = self._requests.open_client(action.request_id)
+        client = self._requests.get_client(action.request_id)
         self._result.attempt_count += 1
         if client is None or client.request_closed or client.balancer != balancer:
             self._rules.record_violation(f"attempt for request {action.request_id}, which is not open there")
@@ -57,10 +60,10 @@
         self._rules.check_attempt(balancer, client, action.endpoint_id)
         server = self._servers.servers[str(action.endpoint_id)]
         client.attempt_server = server
-        client.attempt_started_ms = now_ms
-        timeout_at_ms = client.deadline_ms
+        client.attempt_started_at_ms = now_ms
+        timeout_at_ms = client.deadline_at_ms
         if action.timeout_ms:
-            timeout_at_ms = min(now_ms + action.timeout_ms, client.deadline_ms)
+            timeout_at_ms = min(now_ms + action.timeout_ms, client.deadline_at_ms)
         attempt = (client, client.request_id, client.attempts)
         self._queue.schedule(timeout_at_ms, self._end, *attempt, AttemptStatus.TIMED_OUT)
         self._queue.schedule(now_ms + 2 * ONE_WAY_DELAY_MS, self._reach_server, *attempt, server)
@@ -69,20 +72,20 @@
         if not client.is_attempting(request_id, attempt) or not self._servers.receive_attempt(server):
             return
         now_ms = self._queue.now_ms
-        status = self._refusal(server)
+        status = self._refusal_status(server)
         if status is not None:
             self._queue.schedule(now_ms + ONE_WAY_DELAY_MS, self._end, client, request_id, attempt, status)
             return
-        # an overloaded server works on setups as slowly as on all else
+        # overload slows connection setups down as much as all other work of a server
         setup_ms = self._servers.experiment.setup_ms * max(server.load, 1.0)
-        server.setups_done_ms = max(server.setups_done_ms, now_ms) + setup_ms
-        answered_ms = server.setups_done_ms + ONE_WAY_DELAY_MS
-        self._queue.schedule(answered_ms, self._establish, client, request_id, attempt, server)
+        server.setups_done_at_ms = max(server.setups_done_at_ms, now_ms) + setup_ms
+        answered_at_ms = server.setups_done_at_ms + ONE_WAY_DELAY_MS
+        self._queue.schedule(answered_at_ms, self._establish, client, request_id, attempt, server)
 
-    def _refusal(self, server: ModelServer) -> AttemptStatus | None:
+    def _refusal_status(self, server: ModelServer) -> AttemptStatus | None:
         if not server.is_up:
             return AttemptStatus.CONNECT_FAILED
-        if server.is_draining or len(server.clients) >= server.slots:
+        if server.is_draining or len(server.clients) >= server.connection_limit:
             return AttemptStatus.AT_CAPACITY
         if server.is_failing and self._random.random() < FAILING_ERROR_RATE:
             return AttemptStatus.ERROR
@@ -94,18 +97,18 @@
         if not server.is_up or server.is_draining:
             self._end(client, request_id, attempt, AttemptStatus.CONNECTION_RESET)
             return
-        self._requests.connected(client, server)
+        self._requests.record_connection(client, server)
         established = AttemptEstablished(
             request_id=request_id,
             attempt=attempt - 1,
             endpoint_id=server.id,
-            elapsed_ms=self._queue.now_ms - client.attempt_started_ms,
+            elapsed_ms=self._queue.now_ms - client.attempt_started_at_ms,
         )
         self._balancers.notify(client.balancer, established)
-        # the balancer may have migrated it at once
+        # the balancer may have migrated the connection while it handled the event
         if client.connected_server is server:
             self._report_load(client, attempt, server)
-            self._requests.complete_when_done(client)
+            self._requests.schedule_completion(client)
 
     def _report_load(self, client: ModelClient, attempt: int, server: ModelServer) -> None:
         signal = ConnectionSignal(
@@ -127,6 +130,6 @@
             attempt=attempt - 1,
             endpoint_id=server.id,
             status=status,
-            elapsed_ms=self._queue.now_ms - client.attempt_started_ms,
+            elapsed_ms=self._queue.now_ms - client.attempt_started_at_ms,
         )
         self._balancers.notify(client.balancer, ended)
--- a/walkloom/lab/simulator/experiment.py
+++ b/walkloom/lab/simulator/experiment.py
@@ -1,4 +1,4 @@
-"""What a simulation is asked to play."""
+"""The parameters of a simulation."""
 
 from __future__ import annotations
 
@@ -7,36 +7,40 @@
 from walkloom.lab.settings import CLASSES, TENANTS
 from walkloom.messages import RequestClass, Settings
 
-DRAIN_GRACE_MS = 500.0  # the platform's value: attempts may reach a server so long after its drain
-MAX_ATTEMPTS = 3  # the platform's value, for each request
-ANSWER_GRACE_MS = 8.0  # the platform's value: a final answer may come so long after the deadline
+# Limits that the platform sets
+DRAIN_GRACE_MS = 500.0  # after a balancer is notified of a drain; attempts are allowed until then
+MAX_ATTEMPTS = 3  # for each request
+ANSWER_GRACE_MS = 8.0  # after the deadline of a request; a final answer counts as in time until then
 
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """The sizes and the faults of one run."""
+    """The sizes and faults of one run. Shares are between 0 and 1."""
 
     server_count: int
     balancer_count: int
     duration_s: float = 20.0
-    # new connections a second, for each server
+    # new connections per second and server
     connection_rate_per_server: float = 1.0
     mean_lifetime_s: float = 12.0
-    # connections of mean load that use a server's whole capacity
+    # number of connections of mean load that fully load a server
     server_capacity: int = 20
+    # time that a server spends on one connection setup
     setup_ms: float = 5.0
-    # shares of the servers: drained a third into the run, crashed at a half, failing from two thirds on
+    # share of the servers that drain after a third of the run
     drained_share: float = 0.1
+    # share of the servers that crash after half of the run
     crashed_share: float = 0.05
-    # a failing server answers nine setups in ten with an error, for a sixth of the run
+    # share of the servers that fail after two thirds of the run: for a sixth of the run each of them answers
+    # nine in ten setups with an error
     failing_share: float = 0.1
-    # from a change of a server until endpoint discovery notifies the balancers
+    # from a change of a server's state to the first notification of a balancer
     discovery_delay_ms: float = 1000.0
     seed: int = 1
 
 
 def policy_settings(experiment: Experiment) -> Settings:
-    """Return the settings of every balancer, with the platform's values."""
+    """Return the settings of every balancer, with the values of the platform."""
     return Settings(
         request_classes=tuple(
             RequestClass(
--- a/walkloom/lab/simulator/result.py
+++ b/walkloom/lab/simulator/result.py
@@ -1,4 +1,4 @@
-"""What a simulation measured."""
+"""The measurements of a simulation."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 from enum import Enum
 from typing import Any
 
-# Figures of the machine that ran the simulation, which differ from run to run.
-MACHINE_FIGURES = ("policy_cpu_us_per_request", "wall_time_s")
+# Fields that depend on the machine and differ between runs of the same experiment.
+MACHINE_DEPENDENT_FIELDS = ("policy_cpu_us_per_request", "wall_time_s")
 
 
 class RequestResult(Enum):
-    """How a request ended, or that its connection was established."""
+    """The final answer to a request, or that its connection was established."""
 
     ESTABLISHED = "established"
     REJECTED = "rejected"
     FAILED = "failed"
-    UNANSWERED = "unanswered"  # a rule violation
+    UNANSWERED = "unanswered"  # also recorded as a rule violation
     BALANCER_STOPPED = "balancer stopped"
 
 
 @dataclass(frozen=True, slots=True)
 class RuleViolation:
-    """A rule of the balancers that an action broke."""
+    """A violation of one of the balancers' rules."""
 
     time_ms: float  # since the start of the run
     description: str
@@ -34,15 +34,15 @@
 
 @dataclass
 class Result:
-    """The figures of one run."""
+    """The measurements of one run."""
 
-    # priority-weighted connection time: what clients got, over what they wanted
+    # connection time that clients got over the time that they wanted, weighted by priority
     served_share: float = 0.0
-    # the same for the worst sample of the service monitor
+    # the same ratio in the worst sample of the service monitor
     worst_sample_share: float = 1.0
-    # the greatest load of a server that was up, over its capacity
+    # the highest load of a server that was up, over its capacity
     peak_load: float = 0.0
-    # standard deviation of the servers' loads over their mean, as the mean of all samples
+    # coefficient of variation of the servers' loads (standard deviation over mean), averaged over the samples
     load_variation: float = 0.0
     connection_count: int = 0
     migration_count: int = 0
@@ -50,15 +50,15 @@
     event_count: int = 0
     request_results: Counter[RequestResult] = field(default_factory=Counter)
     attempt_count: int = 0
-    # the first ones; `violation_count` has them all
+    # the first violations; `violation_count` counts all
     violations: list[RuleViolation] = field(default_factory=list)
     violation_count: int = 0
-    # CPU time of the policy for each request, in all events that are not load reports or list updates
+    # CPU time of the policy per request, without load reports and endpoint list updates
     policy_cpu_us_per_request: float = 0.0
     wall_time_s: float = 0.0
 
-    def reproducible(self) -> dict[str, Any]:
-        """Return the figures on which two runs of one experiment must agree, as plain values."""
-        figures = {name: value for name, value in vars(self).items() if name not in MACHINE_FIGURES}
+    def reproducible_fields(self) -> dict[str, Any]:
+        """Return the fields that are equal in all runs of the same experiment, as plain values."""
+        figures = {name: value for name, value in vars(self).items() if name not in MACHINE_DEPENDENT_FIELDS}
         figures["request_results"] = {each.value: count for each, count in self.request_results.items()}
         return figures
--- a/walkloom/lab/simulator/runner.py
+++ b/walkloom/lab/simulator/runner.py
@@ -1,4 +1,4 @@
-"""Runs experiments, one or several at a time."""
+"""Runs experiments, in this process or in several worker processes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def run_all(experiments: Sequence[Experiment], processes: int) -> list[Result]:
-    """Run experiments in so many processes; the results keep the order of the experiments."""
+    """Run experiments in `processes` processes; the results are in the order of the experiments."""
     if processes == 1:
         return [run(experiment) for experiment in experiments]
     with ProcessPoolExecutor(processes, multiprocessing.get_context("spawn")) as pool:
--- a/walkloom/lab/simulator/server_pool.py
+++ b/walkloom/lab/simulator/server_pool.py
@@ -1,4 +1,4 @@
-"""The model servers of a simulation."""
+"""The simulated servers of a run."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 from walkloom.lab.simulator.experiment import Experiment
 from walkloom.lab.simulator.models import ModelClient, ModelServer
 
-SLOTS_PER_CAPACITY = 3  # so overload shows as a load above 1.0 long before a server runs out of slots
+# A server accepts three times the connections that fully load it, so that overload shows as a load above 1.0
+# long before the server is at its connection limit.
+CONNECTION_LIMIT_PER_CAPACITY = 3
 
 
 class ServerPool:
-    """All servers of a run, those that are gone included."""
+    """All servers of a run, including those that have drained or crashed."""
 
     def __init__(self, experiment: Experiment, queue: EventQueue) -> None:
         self.experiment = experiment
@@ -18,10 +20,10 @@
         self.servers: dict[str, ModelServer] = {}
 
     def add(self, zone: int = 0, started_at_ms: float = 0.0) -> ModelServer:
-        """Start one more server."""
+        """Start another server."""
         server = ModelServer(
             id=f"s-{len(self.servers)}",
-            slots=self.experiment.server_capacity * SLOTS_PER_CAPACITY,
+            connection_limit=self.experiment.server_capacity * CONNECTION_LIMIT_PER_CAPACITY,
             zone=zone,
             started_at_ms=started_at_ms,
         )
@@ -29,17 +31,17 @@
         return server
 
     def utilization(self, server: ModelServer) -> float:
-        """Return the load of a server over its present capacity."""
+        """Return the load of a server over its current capacity."""
         return server.load
 
     def load_report(self, server: ModelServer) -> tuple[float, float, float] | None:
-        """Return setups a second, connections and load; None where the server does not answer."""
+        """Return setups per second, connections and load; None if the server does not answer."""
         if not server.is_up:
             return None
         return (0.0, float(len(server.clients)), server.load)
 
     def receive_attempt(self, server: ModelServer) -> bool:
-        """Count an attempt that reached a server; False where the server hangs and never answers."""
+        """Handle the arrival of an attempt; return False if the server hangs and never answers."""
         return True
 
     def attach(self, server: ModelServer, client: ModelClient) -> None:
@@ -51,7 +53,7 @@
         """Remove a client's connection from a server."""
         del server.clients[client.request_id]
         if len(server.clients) < 2:
-            # summed anew, so that rounding errors do not pile up
+            # recomputed from the sum, so that rounding errors do not accumulate
             server.load = sum(each.load for each in server.clients.values())
         else:
             server.load -= client.load
--- a/walkloom/lab/simulator/service_monitor.py
+++ b/walkloom/lab/simulator/service_monitor.py
@@ -1,4 +1,4 @@
-"""Samples of the service that clients get."""
+"""Samples the service that clients get."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from walkloom.lab.simulator.result import Result
 from walkloom.lab.simulator.server_pool import ServerPool
 
-SAMPLE_INTERVAL_MS = 250.0  # well below the shortest fault of an experiment
+SAMPLE_INTERVAL_MS = 250.0  # well below the duration of the shortest fault
 
 
 class ServiceMonitor:
-    """Compares, at fixed intervals, the connections that are served with those that are wanted."""
+    """Compares at fixed intervals the connections that are served with those that clients want."""
 
     def __init__(
         self, queue: EventQueue, servers: ServerPool, requests: RequestLifecycle, result: Result
@@ -24,44 +24,46 @@
         self.servers = servers
         self.requests = requests
         self._result = result
-        self._wanted = 0.0
-        self._served = 0.0
+        self._wanted_weight = 0.0
+        self._served_weight = 0.0
         self._load_variations: list[float] = []
 
-    def start(self) -> None:
-        """Schedule the first sample."""
-        self.queue.schedule(self.queue.now_ms + SAMPLE_INTERVAL_MS, self.sample)
+    def schedule_sample(self) -> None:
+        """Schedule the next sample."""
+        self.queue.schedule(self.queue.now_ms + SAMPLE_INTERVAL_MS, self.take_sample)
 
-    def sample(self) -> None:
+    def take_sample(self) -> None:
         """Take one sample, and schedule the next."""
-        wanted = sum(_priority_weight(client) for client in self.requests.waiting_or_connected)
-        served = 0.0
+        wanted_weight = sum(_priority_weight(client) for client in self.requests.active_clients)
+        served_weight = 0.0
         loads = []
         for server in self.servers.servers.values():
             if not server.is_up or server.is_draining:
                 continue
             loads.append(self.servers.utilization(server))
             weight = sum(_priority_weight(client) for client in server.clients.values())
-            served += weight * self.timely_share(server)
-        self._record(wanted, served, loads)
-        self.start()
+            served_weight += weight * self.timely_share(server)
+        self._record_sample(wanted_weight, served_weight, loads)
+        self.schedule_sample()
 
-    def _record(self, wanted: float, served: float, loads: list[float]) -> None:
-        self._wanted += wanted
-        self._served += served
-        if wanted:
-            self._result.worst_sample_share = min(self._result.worst_sample_share, served / wanted)
+    def _record_sample(self, wanted_weight: float, served_weight: float, loads: list[float]) -> None:
+        self._wanted_weight += wanted_weight
+        self._served_weight += served_weight
+        if wanted_weight:
+            self._result.worst_sample_share = min(
+                self._result.worst_sample_share, served_weight / wanted_weight
+            )
         self._result.peak_load = max(self._result.peak_load, max(loads, default=0.0))
         if loads and (mean := float(np.mean(loads))) > 0:
             self._load_variations.append(float(np.std(loads)) / mean)
 
     def timely_share(self, server: ModelServer) -> float:
-        """Return the share of messages that a server answers in time."""
+        """Return the share of messages, from 0 to 1, that a server answers in time."""
         return min(1.0, 1.0 / server.load) if server.load > 0 else 1.0
 
-    def finish(self) -> None:
-        """Write the figures over all samples into the result."""
-        self._result.served_share = self._served / self._wanted if self._wanted else 1.0
+    def record_averages(self) -> None:
+        """Write the averages over all samples into the result."""
+        self._result.served_share = self._served_weight / self._wanted_weight if self._wanted_weight else 1.0
         if self._load_variations:
             self._result.load_variation = float(np.mean(self._load_variations))
 
--- a/walkloom/lab/simulator/simulator.py
+++ b/walkloom/lab/simulator/simulator.py
@@ -1,4 +1,4 @@
-"""One run: the models wired together, and the faults of its experiment."""
+"""One run: connects the models and schedules the faults of the experiment."""
 
 from __future__ import annotations
 
@@ -21,18 +21,19 @@
 from walkloom.lab.simulator.workload import draw_clients
 from walkloom.messages import AttemptStatus, EndpointListUpdate, Lifecycle, Settings, UpdateKind
 
-DISCOVERY_JITTER_MS = 50.0  # between the balancers that discovery notifies of one change
-DRAIN_TIME = 1 / 3  # as shares of the run
-CRASH_TIME = 1 / 2
-FAILURE_TIME = 2 / 3
-FAILURE_RUN_PARTS = 6  # a failure lasts for one such part of the run
+MAX_DISCOVERY_JITTER_MS = 50.0  # between the notifications of two balancers of the same change
+# Times of the faults, as shares of the run
+DRAIN_TIME_SHARE = 1 / 3
+CRASH_TIME_SHARE = 1 / 2
+FAILURE_TIME_SHARE = 2 / 3
+FAILURE_DURATION_DIVISOR = 6  # a failure lasts for the duration of the run over this
 
 
 class Simulator:
     """A run of one experiment.
 
-    A subclass plays other days with other models: it overrides the `_make_...` methods, which are called
-    once each, in the order of `__init__`.
+    A subclass can replace the models: it overrides the `_make_...` methods. `__init__` calls each of them
+    once, in the order in which they are defined.
     """
 
     def __init__(self, experiment: Experiment) -> None:
@@ -40,8 +41,8 @@
         self.random = np.random.default_rng(experiment.seed)
         self.queue = EventQueue()
         self.duration_ms = experiment.duration_s * 1000.0
-        self.start_ms = self.queue.now_ms
-        self.end_ms = self.start_ms + self.duration_ms
+        self.start_time_ms = self.queue.now_ms
+        self.end_time_ms = self.start_time_ms + self.duration_ms
         self.result = self._make_result()
         self.settings = self._make_settings()
         self.rules = RuleChecker(experiment.balancer_count, self.queue, self.result)
@@ -80,67 +81,69 @@
         return ServiceMonitor(self.queue, self.servers, self.requests, self.result)
 
     def run(self) -> Result:
-        """Play the whole run."""
-        started = time.perf_counter()
-        self._send_first_endpoint_lists()
-        for arrival_ms, client in self._clients():
-            self.queue.schedule(arrival_ms, self.requests.start_request, client)
+        """Simulate the whole run, and return its measurements."""
+        started_at_s = time.perf_counter()
+        self._send_initial_endpoint_lists()
+        for arrives_at_ms, client in self._draw_clients():
+            self.queue.schedule(arrives_at_ms, self.requests.start_request, client)
             self.result.connection_count += 1
         self._schedule_faults()
-        self.monitor.start()
-        self.queue.run_until(self.end_ms)
-        self.monitor.finish()
-        requests = max(self.requests.request_count, 1)
-        self.result.policy_cpu_us_per_request = self.balancers.policy_cpu_s / requests * 1e6
-        self.result.wall_time_s = time.perf_counter() - started
+        self.monitor.schedule_sample()
+        self.queue.run_until(self.end_time_ms)
+        self.monitor.record_averages()
+        started_requests = max(self.requests.request_count, 1)
+        self.result.policy_cpu_us_per_request = self.balancers.policy_cpu_s / started_requests * 1e6
+        self.result.wall_time_s = time.perf_counter() - started_at_s
         return self.result
 
-    def _send_first_endpoint_lists(self) -> None:
+    def _send_initial_endpoint_lists(self) -> None:
         endpoints = tuple(server.endpoint() for server in self.servers.servers.values())
         for balancer in range(len(self.balancers)):
             self.balancers.notify(balancer, EndpointListUpdate(UpdateKind.CACHED, endpoints))
             self.balancers.notify(balancer, EndpointListUpdate(UpdateKind.SNAPSHOT, endpoints))
 
-    def _clients(self) -> Iterator[tuple[float, ModelClient]]:
+    def _draw_clients(self) -> Iterator[tuple[float, ModelClient]]:
         return draw_clients(self.experiment, self.random)
 
     # Faults
 
     def _schedule_faults(self) -> None:
         servers = list(self.servers.servers.values())
-        chosen = [servers[n] for n in self.random.permutation(len(servers))]
+        shuffled_servers = [servers[n] for n in self.random.permutation(len(servers))]
         for share, time_share, fault in (
-            (self.experiment.drained_share, DRAIN_TIME, self.drain),
-            (self.experiment.crashed_share, CRASH_TIME, self._crash),
-            (self.experiment.failing_share, FAILURE_TIME, self._fail),
+            (self.experiment.drained_share, DRAIN_TIME_SHARE, self.drain),
+            (self.experiment.crashed_share, CRASH_TIME_SHARE, self._crash),
+            (self.experiment.failing_share, FAILURE_TIME_SHARE, self._fail),
         ):
             for _ in range(round(share * len(servers))):
-                self.queue.schedule(self.start_ms + self.duration_ms * time_share, fault, chosen.pop())
+                self.queue.schedule(
+                    self.start_time_ms + self.duration_ms * time_share, fault, shuffled_servers.pop()
+                )
 
-    def announce(self, server: ModelServer, lifecycle: Lifecycle) -> None:
-        """Let discovery notify all balancers of a server's new state, late."""
+    def announce_lifecycle(self, server: ModelServer, lifecycle: Lifecycle) -> None:
+        """Let discovery notify all balancers of a server's new lifecycle state, after its delay."""
         endpoint = server.endpoint()._replace(lifecycle=lifecycle)
         update = EndpointListUpdate(UpdateKind.INCREMENTAL, (endpoint,))
         for balancer in range(len(self.balancers)):
-            jitter_ms = float(self.random.uniform(0.0, DISCOVERY_JITTER_MS))
-            notified_ms = self.queue.now_ms + (self.experiment.discovery_delay_ms + jitter_ms)
-            self.queue.schedule(notified_ms, self.balancers.notify, balancer, update)
+            jitter_ms = float(self.random.uniform(0.0, MAX_DISCOVERY_JITTER_MS))
+            notified_at_ms = self.queue.now_ms + (self.experiment.discovery_delay_ms + jitter_ms)
+            self.queue.schedule(notified_at_ms, self.balancers.notify, balancer, update)
 
     def drain(self, server: ModelServer) -> None:
-        """Shut a server down gracefully: it migrates its clients at once."""
+        """Shut a server down gracefully: it closes all connections at once, and its clients reconnect."""
         server.is_draining = True
-        self.announce(server, Lifecycle.DRAINING)
+        self.announce_lifecycle(server, Lifecycle.DRAINING)
         self.requests.disconnect_all(server, AttemptStatus.CANCELLED)
 
     def _crash(self, server: ModelServer) -> None:
         server.is_up = False
-        self.announce(server, Lifecycle.REMOVED)
+        self.announce_lifecycle(server, Lifecycle.REMOVED)
         self.requests.disconnect_all(server, AttemptStatus.CONNECTION_RESET)
 
     def _fail(self, server: ModelServer) -> None:
         server.is_failing = True
-        recovery_ms = self.queue.now_ms + self.duration_ms / FAILURE_RUN_PARTS
-        self.queue.schedule(recovery_ms, self._recover, server)
+        recovers_at_ms = self.queue.now_ms + self.duration_ms / FAILURE_DURATION_DIVISOR
+        self.queue.schedule(recovers_at_ms, self._recover, server)
 
     def _recover(self, server: ModelServer) -> None:
         server.is_failing = False
