--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: what it teaches, how it fails, and that the platform's start does not pay for it."""
+"""The command line: help, errors, output, and that a start by the platform does not import it."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from walkloom.lab.load.json_file import write_json
 
 
-def call(*words: str) -> Result:
+def invoke(*words: str) -> Result:
     return CliRunner().invoke(main, words)
 
 
@@ -31,8 +31,8 @@
     "words", [("--help",), ("run", "-h"), ("demo", "-h"), ("import", "-h"), ("lab", "load", "-h")]
 )
 def test_every_command_has_help(words: tuple[str, ...]) -> None:
-    got = call(*words)
-    assert got.exit_code == 0 and "Usage:" in got.output and len(got.output.splitlines()) > 5
+    result = invoke(*words)
+    assert result.exit_code == 0 and "Usage:" in result.output and len(result.output.splitlines()) > 5
 
 
 @pytest.mark.parametrize(
@@ -49,51 +49,51 @@
     ],
 )
 def test_unusable_arguments_exit_with_two_and_a_reason(words: tuple[str, ...], text: str) -> None:
-    got = call(*words)
-    assert got.exit_code == 2 and text in got.output + got.stderr
+    result = invoke(*words)
+    assert result.exit_code == 2 and text in result.output + result.stderr
 
 
-def program(*words: str, **env: str) -> subprocess.CompletedProcess[str]:
-    plain = {name: value for name, value in os.environ.items() if name != "GW_CONFIG"}
+def run_program(*words: str, **env: str) -> subprocess.CompletedProcess[str]:
+    environment = {name: value for name, value in os.environ.items() if name != "GW_CONFIG"}
     return subprocess.run(
         [sys.executable, "-m", "walkloom", *words],
-        env=plain | env,
+        env=environment | env,
         capture_output=True,
         text=True,
         timeout=60,
     )
 
 
-def test_it_serves_without_arguments_and_run_takes_the_file_as_an_option(tmp_path: Path) -> None:
+def test_the_program_serves_without_arguments_and_run_takes_the_file_as_an_option(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text("{")
-    for got in (program(), program("run")):
-        assert got.returncode == 2 and "GW_CONFIG names no file" in got.stderr
-    got = program("run", "--config", str(path))
-    assert got.returncode == 2 and "configuration_invalid" in got.stderr and str(path) in got.stderr
+    for result in (run_program(), run_program("run")):
+        assert result.returncode == 2 and "GW_CONFIG names no file" in result.stderr
+    result = run_program("run", "--config", str(path))
+    assert result.returncode == 2 and "configuration_invalid" in result.stderr and str(path) in result.stderr
 
 
 def test_version_and_completion_work() -> None:
-    assert program("--version").stdout.startswith("walkloom, version ")
-    got = program(_WALKLOOM_COMPLETE="bash_complete", COMP_WORDS="walkloom l", COMP_CWORD="1")
-    assert got.returncode == 2  # without words it serves, whatever else the environment holds
-    got = program("x", _WALKLOOM_COMPLETE="bash_complete", COMP_WORDS="walkloom l", COMP_CWORD="1")
-    assert got.stdout == "plain,lab\n"
+    assert run_program("--version").stdout.startswith("walkloom, version ")
+    result = run_program(_WALKLOOM_COMPLETE="bash_complete", COMP_WORDS="walkloom l", COMP_CWORD="1")
+    assert result.returncode == 2  # without arguments it serves, whatever the completion variables say
+    result = run_program("x", _WALKLOOM_COMPLETE="bash_complete", COMP_WORDS="walkloom l", COMP_CWORD="1")
+    assert result.stdout == "plain,lab\n"
 
 
-def test_a_start_by_the_platform_loads_nothing_of_the_command_line() -> None:
+def test_a_start_by_the_platform_does_not_import_the_command_line() -> None:
     code = "import sys, walkloom.__main__ as m; print({'click', 'rich', 'walkloom.cli'} & set(sys.modules))"
-    got = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
-    assert got.stdout.strip() == "set()", got.stdout + got.stderr
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
+    assert result.stdout.strip() == "set()", result.stdout + result.stderr
 
 
 def test_a_load_prints_its_figures_and_writes_them_to_a_file(tmp_path: Path) -> None:
-    out = tmp_path / "load.json"
+    json_path = tmp_path / "load.json"
     with socket.create_server(("127.0.0.1", 0)) as closed:
         address = f"127.0.0.1:{closed.getsockname()[1]}"
-    got = call("lab", "load", address, "-p", "40:0.5", "--json", str(out))
-    report = orjson.loads(out.read_bytes())["report"]
-    assert got.exit_code == 0 and f"arrivals{'':<27}{report['arrivals']}" in got.output
+    result = invoke("lab", "load", address, "-p", "40:0.5", "--json", str(json_path))
+    report = orjson.loads(json_path.read_bytes())["report"]
+    assert result.exit_code == 0 and f"arrivals{'':<27}{report['arrivals']}" in result.output
     assert report["unconnected"] == report["arrivals"] > 5 and report["setup"]["p99"] == 0.0
 
 
@@ -118,7 +118,7 @@
 
 
 def test_the_simulator_prints_a_row_for_each_size() -> None:
-    got = call(
+    result = invoke(
         "lab",
         "sim",
         "--servers",
@@ -132,31 +132,37 @@
         "--seeds",
         "2",
     )
-    rows = [line.split(" | ") for line in got.output.splitlines()[2:]]
-    assert got.exit_code == 0 and [row[0] for row in rows] == ["| 5", "| 10"]
+    rows = [line.split(" | ") for line in result.output.splitlines()[2:]]
+    assert result.exit_code == 0 and [row[0] for row in rows] == ["| 5", "| 10"]
     assert all(0.5 < float(row[2]) <= 1.0 and row[-1] == "0 |" for row in rows)
 
 
 def test_an_import_prints_the_endpoint_list(tmp_path: Path) -> None:
     path = tmp_path / "workers.properties"
     path.write_text("worker.list=a\nworker.a.host=10.0.0.1\nworker.a.port=8009\nworker.a.lbfactor=3\n")
-    got = program("import", str(path))
-    (server,) = orjson.loads(got.stdout)["instances"]
-    assert got.returncode == 0 and server["hostPort"] == "10.0.0.1:8009" and server["weight"] == 3
+    result = run_program("import", str(path))
+    (server,) = orjson.loads(result.stdout)["instances"]
+    assert result.returncode == 0 and server["hostPort"] == "10.0.0.1:8009" and server["weight"] == 3
 
 
 def test_the_demonstration_loses_no_session_in_its_drain_and_crash() -> None:
     views: list[DemoView] = []
-    last = trio.run(Demo(8.0, views.append).run, clock=MockClock(autojump_threshold=0.002))
-    n = last.figures.counters
-    assert last.violations == () and n.lost == 0 and n.migrated >= 5 and n.broken >= 5 and n.reconnected >= 10
-    assert [row.state for row in last.servers] == ["up", "draining", "cold", "up", "up"]
+    last_view = trio.run(Demo(8.0, views.append).run, clock=MockClock(autojump_threshold=0.002))
+    counts = last_view.figures.counters
+    assert (
+        last_view.violations == ()
+        and counts.lost == 0
+        and counts.migrated >= 5
+        and counts.broken >= 5
+        and counts.reconnected >= 10
+    )
+    assert [row.state for row in last_view.servers] == ["up", "draining", "cold", "up", "up"]
     assert any(row.state == "crashed" for view in views for row in view.servers)
     screen = io.StringIO()
-    Console(file=screen, width=110).print(render(last))
+    Console(file=screen, width=110).print(render(last_view))
     assert (
         "s-1" in screen.getvalue()
         and "draining" in screen.getvalue()
         and "is back, cold" in screen.getvalue()
     )
-    assert summary(last)[3].endswith(": 0") and "were lost" in summary(last)[1]
+    assert summary(last_view)[3].endswith(": 0") and "were lost" in summary(last_view)[1]
--- a/walkloom/cli/__init__.py
+++ b/walkloom/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The command line: `walkloom` or `python -m walkloom` with words. Without words nothing of this loads.
+"""The command line: `walkloom`, or `python -m walkloom` with arguments. Without arguments it is not imported.
 
-Each command is a module of its own, loaded when it is asked for. Exit codes: 0 done, 1 done and found
-wanting, 2 unusable words or files (one line says why), 130 interrupted.
+Each command is a module of its own, imported only when the command is used. Exit codes: 0 success,
+1 completed but a check failed, 2 unusable arguments or files (with a message of one line), 130 interrupted.
 """
 
 from __future__ import annotations
@@ -15,44 +15,44 @@
 EXIT_UNUSABLE_INPUT = 2
 
 
-# `\b` is click's mark for a paragraph whose lines stay as they are
+# `\b` tells click not to rewrap the paragraph that follows
 _HELP = """\
 walkloom places long-lived connections on servers.
 
 \b
-walkloom demo                          see what it does
-walkloom run --config config.json      serve
+walkloom demo                          watch a small fleet on loopback
+walkloom run --config config.json      serve as a balancer
 walkloom lab load 127.0.0.1:9000 -p 50:10
 
-Without any word, `python -m walkloom` serves from the file that GW_CONFIG names: that is what the
-platform starts. Completion for your shell: eval "$(_WALKLOOM_COMPLETE=bash_source walkloom)" (or
-zsh, fish).
+Without arguments, `python -m walkloom` serves with the configuration file that GW_CONFIG names; the
+platform starts balancers this way. Shell completion: eval "$(_WALKLOOM_COMPLETE=bash_source walkloom)"
+(or zsh_source, fish_source).
 
-Exit codes: 0 done, 1 done and found wanting, 2 unusable words or files, 130 interrupted.
+Exit codes: 0 success, 1 completed but a check failed, 2 unusable arguments or files, 130 interrupted.
 """
 
 
 class CommandEntry(NamedTuple):
-    """A command that is listed without loading its module."""
+    """A command that can be listed without importing its module."""
 
     module: str
     summary: str
 
 
 _COMMANDS = {
-    "run": CommandEntry("walkloom.cli.run", "Serve as one balancer, from the platform's configuration."),
+    "run": CommandEntry("walkloom.cli.run", "Serve as one balancer, with the platform's configuration."),
     "demo": CommandEntry(
-        "walkloom.cli.demo", "Watch a small fleet live through a drain and a crash, on loopback."
+        "walkloom.cli.demo", "Watch a small fleet on loopback go through a drain and a crash."
     ),
     "import": CommandEntry(
-        "walkloom.cli.imports", "Read Apache balancer and mod_jk files as a list of servers."
+        "walkloom.cli.imports", "Convert Apache balancer and mod_jk files to an endpoint list."
     ),
-    "lab": CommandEntry("walkloom.cli.lab", "The laboratory's tools: load, and what follows."),
+    "lab": CommandEntry("walkloom.cli.lab", "Laboratory tools: load generator, simulator and soak test."),
 }
 
 
 class UnusableInputError(click.ClickException):
-    """Unusable input: one line on standard error, exit code 2."""
+    """Unusable arguments or files: a message of one line on standard error, exit code 2."""
 
     exit_code = EXIT_UNUSABLE_INPUT
 
@@ -62,14 +62,14 @@
 
 
 class LazyGroup(click.Group):
-    """Commands by name; a module loads when its command runs, and not for the list of them."""
+    """A command group that imports the module of a command only when the command is used."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of all commands."""
         return [*_COMMANDS]
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Load a command; None where there is none of that name."""
+        """Import a command; returns None if there is none of that name."""
         if cmd_name not in _COMMANDS:
             return None
         command = import_module(_COMMANDS[cmd_name].module).command
@@ -77,7 +77,7 @@
         return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Write the list of commands from their summaries."""
+        """Write the list of commands with their summaries."""
         with formatter.section("Commands"):
             formatter.write_dl([(name, entry.summary) for name, entry in _COMMANDS.items()])
 
--- a/walkloom/cli/demo.py
+++ b/walkloom/cli/demo.py
@@ -1,4 +1,4 @@
-"""The command `walkloom demo`: the laboratory's demonstration on a screen, or as plain lines."""
+"""The command `walkloom demo`: shows the demonstration on a live screen, or as plain lines."""
 
 from __future__ import annotations
 
@@ -12,19 +12,23 @@
 
     from walkloom.lab.demo import DemoView
 
-SCREEN_REFRESH_PER_S = 4  # as often as the demonstration has a new view
+SCREEN_REFRESH_PER_S = 4  # the rate of new views from the demonstration
 LOAD_BAR_WIDTH = 24  # characters
 STATE_COLOURS = {"up": "green", "draining": "yellow", "crashed": "red", "cold": "cyan"}
 
 
 @click.command("demo")
 @click.option("--seconds", default=20.0, show_default=True, type=click.FloatRange(4.0, 600.0))
-@click.option("--plain", is_flag=True, help="A line a second, without a screen; so also where there is none.")
+@click.option(
+    "--plain",
+    is_flag=True,
+    help="Print a line per second instead of a live screen; the default without a terminal.",
+)
 @click.option("--seed", default=1, show_default=True)
 def command(seconds: float, plain: bool, seed: int) -> None:
-    """Start discovery, five stand-in servers, two balancers and eighty viewers on loopback, and watch them.
+    """Run discovery, five stub servers, two balancers and eighty clients on loopback, and watch them.
 
-    One server drains, one crashes and comes back. Exit code 1 if a rule was broken on the way.
+    One server drains; another crashes and restarts. Exit code 1 if a balancer broke a rule.
     """
     import trio
     from rich.console import Console
@@ -35,25 +39,25 @@
     console = Console()
     if plain or not console.is_terminal:
         printer = _LinePrinter()
-        last = trio.run(Demo(seconds, printer.show, seed).run)
-        for event in last.events:
+        last_view = trio.run(Demo(seconds, printer.show, seed).run)
+        for event in last_view.events:
             click.echo(event)
     else:
         with Live(console=console, refresh_per_second=SCREEN_REFRESH_PER_S) as live:
-            last = trio.run(Demo(seconds, lambda view: live.update(render(view)), seed).run)
-    for text in summary(last):
+            last_view = trio.run(Demo(seconds, lambda view: live.update(render(view)), seed).run)
+    for text in summary(last_view):
         click.echo(text)
-    sys.exit(1 if last.violations else 0)
+    sys.exit(1 if last_view.violations else 0)
 
 
 class _LinePrinter:
-    """Prints a line for each second of the demonstration."""
+    """Prints one line per second of the demonstration."""
 
     def __init__(self) -> None:
         self._last_second = -1
 
     def show(self, view: DemoView) -> None:
-        """Print a view, unless its second has a line already."""
+        """Print a view, unless a line was already printed in the same second."""
         second = int(view.elapsed_s)
         if second > self._last_second:
             self._last_second = second
@@ -62,20 +66,21 @@
 
 def _line(view: DemoView) -> str:
     servers = " ".join(f"{row.name}:{row.state}:{row.connections}" for row in view.servers)
-    return f"{view.elapsed_s:5.1f} s  standing {view.figures.established:3d}  {servers}"
+    return f"{view.elapsed_s:5.1f} s  open sessions {view.figures.established:3d}  {servers}"
 
 
 def render(view: DemoView) -> RenderableType:
-    """Return a view as a table of servers, figures and events."""
+    """Return a view as a table of servers, a summary of connections, and events."""
     from rich.console import Group
     from rich.text import Text
 
     counters = view.figures.counters
     balancers = ", ".join(f"{row.name} {row.open_requests}" for row in view.balancers)
     figures = Text(
-        f"standing {view.figures.established} (balancers: {balancers}); rules broken {len(view.violations)}\n"
-        f"up {counters.established}, refused {counters.rejected}, failed {counters.failed}, "
-        f"moved {counters.migrated}, came back {counters.reconnected}"
+        f"open sessions {view.figures.established} (balancers: {balancers}); "
+        f"rule violations {len(view.violations)}\n"
+        f"requests established {counters.established}, rejected {counters.rejected}, "
+        f"failed {counters.failed}, migrated {counters.migrated}, reconnected {counters.reconnected}"
     )
     return Group(_server_table(view), figures, *(Text(event, "dim") for event in view.events))
 
--- a/walkloom/cli/imports.py
+++ b/walkloom/cli/imports.py
@@ -1,4 +1,4 @@
-"""The command `walkloom import`: Apache's balancer and mod_jk's worker files as a list of servers."""
+"""The command `walkloom import`: converts Apache balancer and mod_jk worker files to an endpoint list."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 import click
 
 _HELP = (
-    "Print the servers of FILES in the form of `known`; "
-    "what could not be carried over goes to standard error."
+    "Print the servers of FILES in the form of the configuration key `known`; "
+    "settings that could not be converted are listed on standard error."
 )
 
 
 @click.command("import", help=_HELP)
 @click.argument("files", nargs=-1, required=True, type=click.Path())
 def command(files: tuple[str, ...]) -> None:
-    """Import the files, and exit with the importer's code."""
+    """Import the files, and exit with the importer's exit code."""
     from walkloom.importers.parser import main
 
     sys.exit(main(list(files)))
--- a/walkloom/cli/run.py
+++ b/walkloom/cli/run.py
@@ -1,4 +1,4 @@
-"""The command `walkloom run`: the same as the platform starts, with the file named by a word."""
+"""The command `walkloom run`: serves like `python -m walkloom`, with the configuration as an option."""
 
 from __future__ import annotations
 
@@ -10,10 +10,13 @@
 
 @click.command("run")
 @click.option(
-    "--config", "path", type=click.Path(dir_okay=False), help="The configuration; else GW_CONFIG names it."
+    "--config",
+    "path",
+    type=click.Path(dir_okay=False),
+    help="Configuration file; default: the file that GW_CONFIG names.",
 )
 def command(path: str | None) -> None:
-    """Serve as one balancer until SIGTERM; SIGHUP reads the file again (docs/oncall.md)."""
+    """Serve as one balancer until SIGTERM; SIGHUP reloads the configuration (docs/oncall.md)."""
     from walkloom.__main__ import serve
 
     if path:
--- a/walkloom/lab/__init__.py
+++ b/walkloom/lab/__init__.py
@@ -1,19 +1,19 @@
-"""walkloom's laboratory: stubs of the outside world on loopback, with faults on request, and simulations.
+"""The laboratory: stub servers and stub discovery on loopback, fault injection, and simulations.
 
-    fleet                stub discovery, stub servers and real balancers round them
-    balancers            handles on those balancers, in this process or as processes
-    stub_server          a tile server that follows the platform's protocol, and its faults
-    server_capacity      what a stub server can do
-    stub_discovery       the registry that balancers watch, with delay and outages
-    registry             the endpoint list behind it
-    invariant_checker    the balancers' rules, checked on what really crossed the sockets
-    settings             the platform's configuration of a balancer, made for a fleet
+    fleet                stub discovery, stub servers and the real balancers that use them
+    balancers            handles for those balancers, in this process or in processes of their own
+    stub_server          a tile server that follows the platform's line protocol and can inject faults
+    server_capacity      the capacity model of a stub server
+    stub_discovery       the registry that balancers watch, with delays and outages
+    registry             the endpoint list that the stub discovery serves
+    invariant_checker    checks the balancers' rules on the traffic that stub servers observe
+    settings             the platform's configuration of a balancer, generated for a fleet
     load                 open-loop load against any balancer
-    demo                 a fleet for a screen
+    demo                 a small fleet shown on a terminal
     simulator, rollout   fleets of any size in virtual time
 
-It is a part of the product: tests, benchmarks and demonstrations use it. A balancer loads nothing of it.
-docs/lab.md has the design.
+The package is part of the product: tests, benchmarks and demonstrations use it. A balancer process does not
+import it. docs/lab.md describes the design.
 """
 
 from walkloom.lab.errors import LabError
--- a/walkloom/lab/demo/__init__.py
+++ b/walkloom/lab/demo/__init__.py
@@ -1,7 +1,7 @@
-"""The demonstration: a small fleet on loopback through a drain and a crash.
+"""The demonstration: a small fleet on loopback that goes through a drain, a crash and a restart.
 
-scenario    plays it
-view        what a screen shows of it, and its closing summary
+scenario    runs the fleet, its clients and the faults
+view        the data for the screen, and the closing summary
 """
 
 from walkloom.lab.demo.scenario import Demo
--- a/walkloom/lab/demo/scenario.py
+++ b/walkloom/lab/demo/scenario.py
@@ -1,4 +1,4 @@
-"""Plays the demonstration: viewers with the client library, a drain, a crash and a restart."""
+"""Runs the demonstration: viewers that use the client library, a drain, a crash and a restart."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 SERVER_COUNT = 5
 BALANCER_COUNT = 2
-VIEWER_COUNT = 80
+VIEWER_COUNT = 80  # clients, each with one session at a time
 GROUP_COUNT = 20
 MEAN_SESSION_S = 12.0
 LINE_INTERVAL_S = 1.0
-VIEW_INTERVAL_S = 0.25  # as often as the screen is drawn
-RETRY_DELAY_S = 1.0  # of a viewer whose request failed
+VIEW_INTERVAL_S = 0.25  # between two redraws of the screen
+RETRY_DELAY_S = 1.0  # after a failed request
 DRAIN_DURATION_MS = 1000.0
-KEPT_EVENTS = 8  # lines of the screen
+MAX_EVENTS = 8  # the most recent ones, a line of the screen each
 POLICIES = tuple(
     ClassPolicy(each.name, each.latency_objective_ms, each.deadline_ms, worth=each.priority_weight)
     for each in CLASSES
@@ -35,33 +35,33 @@
 
 @dataclass
 class Demo:
-    """Plays for so many seconds, and calls `show` with every view."""
+    """Runs for `duration_s` seconds, and calls `show` with each new view."""
 
     duration_s: float
     show: Callable[[DemoView], None]
     seed: int = 1
-    events: deque[str] = field(default_factory=lambda: deque(maxlen=KEPT_EVENTS))
+    events: deque[str] = field(default_factory=lambda: deque(maxlen=MAX_EVENTS))
     _server_states: dict[str, str] = field(default_factory=dict)
-    _start_s: float = 0.0
+    _started_at_s: float = 0.0
 
     async def run(self) -> DemoView:
-        """Play to the end, and return the last view."""
-        # the balancers' log would be drawn over the screen, which shows what they do
+        """Run the demonstration, and return the last view."""
+        # Log lines of the balancers would overwrite the screen, which shows their events anyway.
         logging.getLogger("walkloom").setLevel(logging.CRITICAL)
-        self._start_s = trio.current_time()
+        self._started_at_s = trio.current_time()
         async with trio.open_nursery() as nursery:
             fleet = await self._start_fleet(nursery)
             addresses = [balancer.address for balancer in fleet.balancers.values()]
             async with Client(addresses, POLICIES, seed=self.seed) as client:
                 for number in range(VIEWER_COUNT):
                     nursery.start_soon(self._run_viewer, client, number)
-                nursery.start_soon(self._play_faults, fleet)
-                while trio.current_time() - self._start_s < self.duration_s:
-                    self.show(self._view(fleet, client))
+                nursery.start_soon(self._inject_faults, fleet)
+                while trio.current_time() - self._started_at_s < self.duration_s:
+                    self.show(self._make_view(fleet, client))
                     await trio.sleep(VIEW_INTERVAL_S)
-                last = self._view(fleet, client)
+                last_view = self._make_view(fleet, client)
                 nursery.cancel_scope.cancel()
-        return last
+        return last_view
 
     async def _start_fleet(self, nursery: trio.Nursery) -> Fleet:
         fleet = await Fleet(nursery).start(
@@ -76,7 +76,7 @@
     # Viewers
 
     async def _run_viewer(self, client: Client, number: int) -> None:
-        """Open one session after another."""
+        """Open sessions one after another until cancelled."""
         random = Random(f"{self.seed}/{number}")
         class_name = random.choices(CLASSES, [each.share for each in CLASSES])[0].name
         await trio.sleep(random.random() * self.duration_s / 8)
@@ -89,11 +89,11 @@
                 await trio.sleep(RETRY_DELAY_S)
 
     async def _run_session(self, client: Client, class_name: str, random: Random) -> None:
-        """Send lines for a while, then close the session."""
+        """Open a session, send lines for a random time, then close it."""
         group = random.randrange(GROUP_COUNT) + 1
         async with await client.open(class_name, tenant=random.choice(TENANTS), group=group) as session:
-            end_s = trio.current_time() + random.expovariate(1 / MEAN_SESSION_S)
-            while trio.current_time() < end_s:
+            end_at_s = trio.current_time() + random.expovariate(1 / MEAN_SESSION_S)
+            while trio.current_time() < end_at_s:
                 try:
                     await session.send("SHEET 17")
                     await session.receive()
@@ -103,16 +103,16 @@
 
     # Faults
 
-    async def _play_faults(self, fleet: Fleet) -> None:
-        """Drain a server, crash another and restart it: at a quarter, half and three quarters of the run."""
+    async def _inject_faults(self, fleet: Fleet) -> None:
+        """Drain a server at a quarter of the run, crash another at half, restart it at three quarters."""
         _, drained, crashed, *_ = fleet.servers
-        await trio.sleep_until(self._start_s + self.duration_s / 4)
-        self._set_state(drained, "draining", f"{drained} drains: its clients are sent away over a second")
-        await fleet.drain(drained, over_ms=DRAIN_DURATION_MS)
-        await trio.sleep_until(self._start_s + self.duration_s / 2)
+        await trio.sleep_until(self._started_at_s + self.duration_s / 4)
+        self._set_state(drained, "draining", f"{drained} drains: its clients are migrated within a second")
+        await fleet.drain(drained, duration_ms=DRAIN_DURATION_MS)
+        await trio.sleep_until(self._started_at_s + self.duration_s / 2)
         self._set_state(crashed, "crashed", f"{crashed} crashes: its connections are reset")
         await fleet.crash(crashed)
-        await trio.sleep_until(self._start_s + self.duration_s * 3 / 4)
+        await trio.sleep_until(self._started_at_s + self.duration_s * 3 / 4)
         self._set_state(crashed, "cold", f"{crashed} is back, cold")
         await fleet.restart(crashed)
 
@@ -121,18 +121,18 @@
         self._log_event(event)
 
     def _log_event(self, event: str) -> None:
-        self.events.append(f"{trio.current_time() - self._start_s:5.1f} s  {event}")
+        self.events.append(f"{trio.current_time() - self._started_at_s:5.1f} s  {event}")
 
     # Views
 
-    def _view(self, fleet: Fleet, client: Client) -> DemoView:
+    def _make_view(self, fleet: Fleet, client: Client) -> DemoView:
         balancers = tuple(
             BalancerRow(name, balancer.server.engine.open_requests)
             for name, balancer in fleet.balancers.items()
             if isinstance(balancer, InProcessBalancer)
         )
         return DemoView(
-            elapsed_s=min(trio.current_time() - self._start_s, self.duration_s),
+            elapsed_s=min(trio.current_time() - self._started_at_s, self.duration_s),
             duration_s=self.duration_s,
             servers=tuple(self._server_row(fleet, name) for name in fleet.servers),
             balancers=balancers,
--- a/walkloom/lab/demo/view.py
+++ b/walkloom/lab/demo/view.py
@@ -1,4 +1,4 @@
-"""What a screen shows of the demonstration."""
+"""The data that a screen shows of the demonstration, and the closing summary."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRow:
-    """One stub server as it is now."""
+    """The present state of one stub server."""
 
     name: str
     state: str  # up, draining, crashed or cold
     connections: int
-    load: float  # over its present capacity
+    load: float  # relative to the present capacity
     setup_count: int
 
 
 @dataclass(frozen=True, slots=True)
 class BalancerRow:
-    """One balancer as it is now."""
+    """The present state of one balancer."""
 
     name: str
     open_requests: int
@@ -39,22 +39,22 @@
     balancers: tuple[BalancerRow, ...]
     events: tuple[str, ...]
     figures: Figures
-    # of the balancers' rules, as the servers saw it
+    # of the balancers' rules, as observed by the servers
     violations: tuple[str, ...]
 
 
 def summary(view: DemoView) -> list[str]:
-    """Return the closing summary, a line each."""
+    """Return the lines of the closing summary."""
     counters = view.figures.counters
     setup_p99_ms = max((spread.p99 for spread in view.figures.setup_times.values()), default=math.nan)
     attempts_per_success = counters.attempts / max(counters.established, 1)
     return [
-        f"{counters.requests} requests: {counters.established} up, {counters.rejected} refused, "
-        f"{counters.timed_out} timed out, {counters.failed} failed",
-        f"{counters.migrated} sessions were moved and {counters.broken} broke; "
-        f"{counters.reconnected} came back, {counters.lost} were lost",
+        f"{counters.requests} requests: {counters.established} were established, "
+        f"{counters.rejected} were rejected, {counters.timed_out} timed out, {counters.failed} failed",
+        f"{counters.migrated} sessions were migrated and {counters.broken} broke; "
+        f"{counters.reconnected} reconnected, {counters.lost} were lost",
         f"set-up p99 {setup_p99_ms:.0f} ms; {counters.lines_sent} lines sent, "
-        f"{counters.lines_received} answered; {attempts_per_success:.2f} tries for each success",
-        f"rules broken, as the servers saw it: {len(view.violations)}",
+        f"{counters.lines_received} answered; {attempts_per_success:.2f} attempts per success",
+        f"rule violations observed by the servers: {len(view.violations)}",
         *view.violations[:MAX_SUMMARY_VIOLATIONS],
     ]
--- a/walkloom/lab/errors.py
+++ b/walkloom/lab/errors.py
@@ -1,7 +1,7 @@
-"""The errors of the laboratory."""
+"""Errors of the laboratory."""
 
 from __future__ import annotations
 
 
 class LabError(Exception):
-    """The laboratory itself could not be set up; the text says what is missing."""
+    """The laboratory could not be set up; the message names the cause."""
--- a/walkloom/lab/fault.py
+++ b/walkloom/lab/fault.py
@@ -1,4 +1,4 @@
-"""The faults that a stub server can be put in."""
+"""Faults that a stub server can inject."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Fault(Enum):
-    """What a stub server does instead of its work."""
+    """How a stub server misbehaves on new connections."""
 
     NONE = "none"
     AT_CAPACITY = "at capacity"  # answers BUSY
     FAILING = "failing"  # answers ERR
-    RESETTING = "resetting"  # resets the connection instead of an answer
+    RESETTING = "resetting"  # resets the connection without an answer
     SILENT = "silent"  # never answers
-    TRICKLING = "trickling"  # sends a byte of an answer now and then, never a whole line
+    TRICKLING = "trickling"  # sends single bytes of an answer at intervals, never a complete line
--- a/walkloom/lab/invariant_checker.py
+++ b/walkloom/lab/invariant_checker.py
@@ -1,7 +1,8 @@
-"""The balancers' invariants, checked on what really crossed the sockets of a laboratory. No I/O.
+"""Checks the balancers' invariants on the traffic that stub servers and stub discovery observe. No I/O.
 
-Stub servers report every attempt, stub discovery every notice that a server drains or is gone. The rules are
-those of the platform, with the slack that real sockets need. All times are ms of the laboratory's clock.
+Stub servers report every attempt; stub discovery reports every notification that a server drains or was
+removed. The rules are the platform's, with slack for the delays of real sockets. All times are ms of the
+laboratory's clock.
 """
 
 from __future__ import annotations
@@ -10,25 +11,25 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-MAX_ATTEMPTS = 3  # the platform's value, for each request
-DRAIN_GRACE_MS = 500.0  # the platform's value: attempts may reach a server so long after its drain
-SLACK_MS = 50.0  # for scheduling and sockets between a decision and the server
-MAX_NOTICE_MS = 6000.0  # all watchers know of a change so long after the first of them
-MAX_RECORDED_VIOLATIONS = 100  # more are only counted: one cause can break a rule in every request
+MAX_ATTEMPTS = 3  # of one request; the platform's value
+DRAIN_GRACE_MS = 500.0  # how long attempts may still reach a draining server; the platform's value
+SLACK_MS = 50.0  # for scheduling and socket delays between a decision and the server
+MAX_NOTICE_SPREAD_MS = 6000.0  # all watchers are notified of a change within this time after the first
+MAX_RECORDED_VIOLATIONS = 100  # further ones are only counted: one cause can break a rule in every request
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One request line at a stub server."""
+    """One request line received by a stub server."""
 
     server: str
-    started_ms: float
-    ended_ms: float | None = None
-    outcome: str = ""  # the first word of the answer, or "reset", "left"
+    started_at_ms: float
+    ended_at_ms: float | None = None
+    outcome: str = ""  # the first word of the answer, or "reset", or "left" if the client closed first
 
 
 class UnreadyNotice(NamedTuple):
-    """When watchers of discovery were notified that a server is no longer ready."""
+    """The first and last time that discovery notified a watcher that a server is no longer ready."""
 
     first_ms: float
     last_ms: float
@@ -36,42 +37,46 @@
 
 @dataclass
 class InvariantChecker:
-    """At most three attempts for a request, never two at once, none at a server that has long drained."""
+    """Records attempts and checks the rules on them.
+
+    A request has at most three attempts, never two at once, and none at a server whose drain was notified
+    longer ago than the drain grace.
+    """
 
     attempts: dict[str, list[Attempt]] = field(default_factory=dict)  # by request id
     outcomes: Counter[str] = field(default_factory=Counter)
-    # the first ones; `violation_count` has them all
+    # the first MAX_RECORDED_VIOLATIONS; `violation_count` counts all
     violations: list[str] = field(default_factory=list)
     violation_count: int = 0
-    _unready: dict[str, UnreadyNotice] = field(default_factory=dict)
+    _unready_notices: dict[str, UnreadyNotice] = field(default_factory=dict)
 
     def record_violation(self, description: str) -> None:
-        """Add a violation."""
+        """Count a violation, and keep its description if it is one of the first."""
         self.violation_count += 1
         if len(self.violations) < MAX_RECORDED_VIOLATIONS:
             self.violations.append(description)
 
     def watcher_notified(self, server: str, is_ready: bool, now_ms: float) -> None:
-        """Note that discovery has notified one more watcher of a server's state."""
+        """Record that discovery has notified a watcher of a server's state."""
         if is_ready:
-            self._unready.pop(server, None)
+            self._unready_notices.pop(server, None)
             return
-        notice = self._unready.get(server)
+        notice = self._unready_notices.get(server)
         first_ms = notice.first_ms if notice else now_ms
-        # a watcher that polls the list again later is not notified for the first time
-        self._unready[server] = UnreadyNotice(first_ms, min(now_ms, first_ms + MAX_NOTICE_MS))
+        # A notification later than this goes to a watcher that was notified before and polls the list again.
+        self._unready_notices[server] = UnreadyNotice(first_ms, min(now_ms, first_ms + MAX_NOTICE_SPREAD_MS))
 
     def attempt_started(
         self, server: str, request_id: str, now_ms: float, is_adopted: bool = False
     ) -> Attempt:
-        """Check a request line that a server has received.
+        """Record a request line that a server has received, and check the rules on it.
 
-        `is_adopted`: the connection was established before (`at=` on the wire), so that a server that drains
-        may still receive it.
+        `is_adopted`: the connection was established earlier (`at=` on the wire), so a draining server may
+        still receive it.
         """
         attempt = Attempt(server, now_ms)
         earlier = self.attempts.setdefault(request_id, [])
-        if any(other.ended_ms is None for other in earlier):
+        if any(other.ended_at_ms is None for other in earlier):
             self.record_violation(
                 f"two attempts at once: id {request_id} at {server} and {earlier[-1].server}"
             )
@@ -83,7 +88,7 @@
         return attempt
 
     def _check_drain_grace(self, server: str, request_id: str, now_ms: float) -> None:
-        notice = self._unready.get(server)
+        notice = self._unready_notices.get(server)
         if notice is None or now_ms <= notice.last_ms + DRAIN_GRACE_MS + SLACK_MS:
             return
         late_ms = now_ms - notice.last_ms
@@ -92,8 +97,8 @@
         )
 
     def attempt_ended(self, attempt: Attempt, outcome: str, now_ms: float) -> None:
-        """Note the outcome of an attempt; only the first one counts."""
-        if attempt.ended_ms is None:
-            attempt.ended_ms = now_ms
+        """Record the outcome of an attempt; outcomes after the first are ignored."""
+        if attempt.ended_at_ms is None:
+            attempt.ended_at_ms = now_ms
             attempt.outcome = outcome
             self.outcomes[outcome] += 1
--- a/walkloom/lab/registry.py
+++ b/walkloom/lab/registry.py
@@ -8,12 +8,12 @@
 import math
 from dataclasses import dataclass, replace
 
-MAX_LOGGED_CHANGES = 10_000  # a watcher that asks for older ones gets the whole list
+MAX_LOGGED_CHANGES = 10_000  # a watcher that asks for older ones receives a snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class RegistryEntry:
-    """One server; the names of its fields on the wire are in `to_wire`."""
+    """One server; `to_wire` gives the names of its fields on the wire."""
 
     name: str
     address: str
@@ -25,7 +25,7 @@
     started_at_ms: float = 0.0  # Unix time
 
     def to_wire(self) -> dict[str, object]:
-        """Return the entry in the registry's form."""
+        """Return the entry as a JSON object of the registry's protocol."""
         return {
             "instanceId": self.name,
             "hostPort": self.address,
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegistryChange:
-    """A new version of one entry."""
+    """A new version of one entry, with the generation that it starts."""
 
     generation: int
     visible_at_ms: float
@@ -58,13 +58,13 @@
 
 
 class Registry:
-    """Keeps the changes of the endpoint list, the newest of each entry for ever."""
+    """Keeps the changes of the endpoint list; the newest change of each entry is never dropped."""
 
     def __init__(self) -> None:
         self._changes: list[RegistryChange] = []
 
     def put(self, entry: RegistryEntry, visible_at_ms: float) -> None:
-        """Add or change an entry; changes never become visible before older ones."""
+        """Add or change an entry; a change becomes visible no earlier than older changes do."""
         generation = 1
         if self._changes:
             generation = self._changes[-1].generation + 1
@@ -75,7 +75,7 @@
             self._changes = sorted(newest.values(), key=lambda change: change.generation)
 
     def update(self, name: str, visible_at_ms: float, **fields: object) -> None:
-        """Change fields of an entry; raises KeyError where there is none."""
+        """Change fields of an entry; raises KeyError if it does not exist."""
         newest = {change.entry.name: change.entry for change in self._changes}
         self.put(replace(newest[name], **fields), visible_at_ms)  # type: ignore[arg-type]
 
@@ -84,13 +84,13 @@
         visible = {change.entry.name: change.entry for change in self._visible_changes(now_ms)}
         return [entry for entry in visible.values() if entry.lifecycle != "removed"]
 
-    def next_change_ms(self, generation: int) -> float:
-        """Return when something newer becomes visible; infinite where nothing is known yet."""
-        later = (change.visible_at_ms for change in self._changes if change.generation > generation)
-        return min(later, default=math.inf)
+    def next_change_at_ms(self, generation: int) -> float:
+        """Return when the next change after `generation` becomes visible; infinity if there is none yet."""
+        change_times_ms = (change.visible_at_ms for change in self._changes if change.generation > generation)
+        return min(change_times_ms, default=math.inf)
 
     def poll(self, index: int | None, now_ms: float) -> RegistryUpdate:
-        """Return what is newer than generation `index`, or the whole list where that is not known."""
+        """Return the entries newer than generation `index`, or a snapshot if the log does not have it."""
         visible = self._visible_changes(now_ms)
         generation = visible[-1].generation if visible else 0
         if index is None or index > generation or (visible and index < visible[0].generation - 1):
--- a/walkloom/lab/settings.py
+++ b/walkloom/lab/settings.py
@@ -1,4 +1,4 @@
-"""The platform's configuration of one balancer, made for a laboratory's fleet."""
+"""Generates the platform's configuration of a balancer for a laboratory fleet."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LabClass:
-    """A request class as balancers and clients name it."""
+    """A request class, with the settings that balancers and clients need."""
 
     name: str
     latency_objective_ms: float
-    # after which a client gives up
+    # a client gives up this long after the start of its request
     deadline_ms: float
     priority_weight: float = 1.0
-    # for the answer to a line
+    # of the answer to a line
     message_latency_objective_ms: float = 60.0
-    # of all requests
+    # of all requests of a generated load
     share: float = 1.0
-    # the platform's words: idempotent, deduplicated or at_most_once
+    # idempotent, deduplicated or at_most_once, as the platform spells them
     repeat: str = "idempotent"
-    # deduplicated only: all, zone or cell, and for how long repeats are dropped
+    # deduplicated only: the scope (all, zone or cell), and how long repeats are dropped
     deduplication_scope: str = "all"
     deduplication_window_ms: float = 5000.0
 
@@ -42,7 +42,7 @@
 )
 TENANTS = ("herb-ufsul", "herb-serra", "herb-pampa")
 
-# what the platform promises a balancer; the keys are the platform's, times are ms
+# What the platform guarantees a balancer, under the platform's keys; times are ms.
 _GUARANTEES = {
     "drain-grace": 500.0,
     "ask-within": 10_000.0,
@@ -64,7 +64,7 @@
     max_retry_after_ms: float = 1500.0,
     load_reports_available: bool = True,
 ) -> dict[str, Any]:
-    """Return the settings object, in the form and with the names of the platform's."""
+    """Return the `settings` object of the configuration, with the platform's keys."""
     return {
         "family": "conn",
         "tick": 2.0,
@@ -113,7 +113,7 @@
     sockets: int = 4096,
     seed: int = 1,
 ) -> dict[str, Any]:
-    """Return the whole file that `GW_CONFIG` names."""
+    """Return the content of the configuration file that `GW_CONFIG` names."""
     return {
         "name": name,
         "listen": listen,
--- a/walkloom/lab/stub_discovery.py
+++ b/walkloom/lab/stub_discovery.py
@@ -1,4 +1,4 @@
-"""A stub of endpoint discovery: the registry over HTTP/1.1, with watches, delays and outages."""
+"""A stub of endpoint discovery: serves the registry over HTTP/1.1, with watches, delays and outages."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from walkloom.lab.invariant_checker import InvariantChecker
 from walkloom.lab.registry import Registry, RegistryChange, RegistryEntry, RegistryUpdate
 
-PATH = "/registry/instances"
-MAX_WAIT_MS = 60_000.0  # of a watch
-READ_SIZE_BYTES = 16_384  # far more than a request has
+INSTANCES_PATH = "/registry/instances"
+MAX_WAIT_MS = 60_000.0  # of a watch; longer waits are shortened to it
+READ_SIZE_BYTES = 16_384  # far larger than a request
 
 
 class StubDiscovery:
-    """The registry of a laboratory on a loopback port."""
+    """A registry on a loopback port."""
 
     def __init__(self, invariants: InvariantChecker, delay_ms: float = 0.0) -> None:
-        self.delay_ms = delay_ms  # until a change becomes visible, of every change from now on
+        self.delay_ms = delay_ms  # until a change becomes visible; applies to later changes
         self.request_count = 0
         self.address = ("", 0)
         self._registry = Registry()
@@ -30,22 +30,22 @@
         self._changed = trio.Event()
 
     def put(self, entry: RegistryEntry) -> None:
-        """Add or change a server; `removed` is a lifecycle."""
+        """Add or change a server; a server is removed with the lifecycle `removed`."""
         self._registry.put(entry, _now_ms() + self.delay_ms)
         self._wake_watchers()
 
     def update(self, name: str, **fields: object) -> None:
-        """Change fields of a server; raises KeyError where it is not known."""
+        """Change fields of a server; raises KeyError if it was never listed."""
         self._registry.update(name, _now_ms() + self.delay_ms, **fields)
         self._wake_watchers()
 
     def set_outage(self, is_down: bool) -> None:
-        """Answer requests and watches with 503 while it is down."""
+        """Set whether requests and watches are answered with 503."""
         self._is_down = is_down
         self._wake_watchers()
 
     def endpoint_list(self) -> list[dict[str, object]]:
-        """Return the whole list as it is visible now, in the registry's form."""
+        """Return the visible endpoint list as JSON objects of the registry's protocol."""
         return [entry.to_wire() for entry in self._registry.entries(_now_ms())]
 
     def _wake_watchers(self) -> None:
@@ -53,7 +53,7 @@
         self._changed = trio.Event()
 
     async def serve(self, task_status: trio.TaskStatus[None]) -> None:
-        """Serve requests until the end of the nursery."""
+        """Serve requests until cancelled; `address` is set once started."""
         (listener,) = await trio.open_tcp_listeners(0, host="127.0.0.1")
         self.address = listener.socket.getsockname()[:2]
         async with trio.open_nursery() as nursery:
@@ -70,7 +70,7 @@
                 elif isinstance(event, h11.Request):
                     target = event.target.decode()
                 elif isinstance(event, h11.EndOfMessage):
-                    await self._answer(stream, http, target)
+                    await self._send_response(stream, http, target)
                     if http.our_state is h11.MUST_CLOSE:
                         break
                     http.start_next_cycle()
@@ -81,19 +81,19 @@
         finally:
             await trio.aclose_forcefully(stream)
 
-    async def _answer(self, stream: trio.SocketStream, http: h11.Connection, target: str) -> None:
+    async def _send_response(self, stream: trio.SocketStream, http: h11.Connection, target: str) -> None:
         self.request_count += 1
-        status, update = await self._handle(target)
+        status, update = await self._handle_request(target)
         body = _encode(update) if update else b""
         response = h11.Response(status_code=status, headers=[("Content-Length", str(len(body)))])
-        data = [http.send(event) or b"" for event in (response, h11.Data(data=body), h11.EndOfMessage())]
-        await stream.send_all(b"".join(data))
+        chunks = [http.send(event) or b"" for event in (response, h11.Data(data=body), h11.EndOfMessage())]
+        await stream.send_all(b"".join(chunks))
         if update and status == HTTPStatus.OK:
-            self._note_changes(update.changes)
+            self._report_changes(update.changes)
 
-    async def _handle(self, target: str) -> tuple[HTTPStatus, RegistryUpdate | None]:
+    async def _handle_request(self, target: str) -> tuple[HTTPStatus, RegistryUpdate | None]:
         parts = urlsplit(target)
-        if parts.path != PATH:
+        if parts.path != INSTANCES_PATH:
             return HTTPStatus.NOT_FOUND, None
         try:
             query = {name: int(values[0]) for name, values in parse_qs(parts.query).items()}
@@ -105,7 +105,7 @@
         status = HTTPStatus.SERVICE_UNAVAILABLE if self._is_down else HTTPStatus.OK
         return status, self._registry.poll(index, _now_ms())
 
-    def _note_changes(self, changes: list[RegistryChange]) -> None:
+    def _report_changes(self, changes: list[RegistryChange]) -> None:
         for change in changes:
             is_ready = change.entry.lifecycle == "up"
             self._invariants.watcher_notified(change.entry.name, is_ready, _now_ms())
@@ -113,10 +113,10 @@
     async def _wait_for_change(self, index: int, wait_ms: float) -> None:
         with trio.move_on_after(wait_ms / 1000.0):
             while not self._is_down:
-                change_ms = self._registry.next_change_ms(index)
-                if change_ms <= _now_ms():
+                change_at_ms = self._registry.next_change_at_ms(index)
+                if change_at_ms <= _now_ms():
                     return
-                with trio.move_on_after((change_ms - _now_ms()) / 1000.0):
+                with trio.move_on_after((change_at_ms - _now_ms()) / 1000.0):
                     await self._changed.wait()
 
 
--- a/walkloom/lab/stub_server.py
+++ b/walkloom/lab/stub_server.py
@@ -1,7 +1,7 @@
-"""A stub of a tile server that follows the platform's line protocol, with faults on request.
+"""A stub of a tile server that follows the platform's line protocol and can inject faults.
 
-It echoes every line of an established connection, answers `STATS` with its load, and a malformed first line
-with `SYNTAX`.
+It echoes every line of an established connection, answers `STATS` with a load report, and answers a malformed
+first line with `SYNTAX`.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 from walkloom.lab.server_capacity import ServerCapacity, StubServerSettings
 from walkloom.transport.line_stream import LineError, LineStream
 
-LAST_WORD_TIMEOUT_S = 1.0  # for a client that reads nothing to take the last line of its connection
-TRICKLE_INTERVAL_MS = 100.0  # short against every deadline of a request
+LAST_LINE_TIMEOUT_S = 1.0  # to send the last line of a connection to a client that does not read
+TRICKLE_INTERVAL_MS = 100.0  # short compared with the timeouts of requests
 
-_OPEN = re.compile(rb"OPEN ([0-9a-f]+) [0-9a-f]+ ([!-~]+)\r\n")
+_OPEN_LINE = re.compile(rb"OPEN ([0-9a-f]+) [0-9a-f]+ ([!-~]+)\r\n")
 
 
 @dataclass(eq=False, slots=True)
@@ -33,7 +33,7 @@
 
 
 class StubServer:
-    """A server on loopback; its port stays the same over restarts."""
+    """A server on loopback; it keeps its port across restarts."""
 
     def __init__(
         self, name: str, invariants: InvariantChecker, settings: StubServerSettings, seed: int = 0
@@ -54,25 +54,25 @@
 
     @property
     def address(self) -> str:
-        """Host and port, as in the endpoint list."""
+        """Host and port, as listed by discovery."""
         return f"127.0.0.1:{self.port}"
 
     @property
     def load(self) -> float:
-        """Load over present capacity."""
+        """Load relative to the present capacity."""
         return self.capacity.load(len(self.connections), _now_ms())
 
     @property
     def capacity_share(self) -> float:
-        """Share of its full capacity that it has now."""
-        return self.capacity.share(_now_ms())
+        """Share of the full capacity that is available now."""
+        return self.capacity.available_share(_now_ms())
 
     # Start and shutdown
 
     async def serve(
         self, is_cold: bool = False, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve connections until `crash` or the end of the nursery."""
+        """Serve connections until `crash` or cancellation; a cold server begins its slow start."""
         self._scope = trio.CancelScope()
         self._stopped = trio.Event()
         self.is_draining = False
@@ -89,36 +89,36 @@
             self._stopped.set()
 
     async def crash(self) -> None:
-        """Reset all connections and refuse new ones."""
+        """Reset all connections and stop listening."""
         for connection in list(self.connections.values()):
             await connection.lines.reset()
         self._scope.cancel()
         await self._stopped.wait()
 
-    async def drain(self, over_ms: float = 0.0) -> None:
-        """Reject new connections and migrate the established ones, at once or evenly over a time."""
+    async def drain(self, duration_ms: float = 0.0) -> None:
+        """Reject new connections, and migrate the established ones evenly over `duration_ms` (0: at once)."""
         self.is_draining = True
         migrating = list(self.connections.values())
-        start_ms = _now_ms()
+        started_at_ms = _now_ms()
         for number, connection in enumerate(migrating):
-            due_ms = start_ms + over_ms * number / len(migrating)
-            if due_ms > _now_ms():
-                await trio.sleep((due_ms - _now_ms()) / 1000.0)
+            due_at_ms = started_at_ms + duration_ms * number / len(migrating)
+            if due_at_ms > _now_ms():
+                await trio.sleep((due_at_ms - _now_ms()) / 1000.0)
             if self.connections.get(connection.request_id) is connection:
-                await self._end(connection, b"MOVE\r\n")
+                await self._end_connection(connection, b"MOVE\r\n")
 
     async def complete(self, request_id: str) -> None:
-        """End a connection that has been served to its end."""
-        await self._end(self.connections[request_id], b"BYE\r\n")
+        """End a connection normally, with BYE."""
+        await self._end_connection(self.connections[request_id], b"BYE\r\n")
 
-    async def _end(self, connection: StubConnection, last_line: bytes) -> None:
+    async def _end_connection(self, connection: StubConnection, last_line: bytes) -> None:
         del self.connections[connection.request_id]
         try:
-            with trio.move_on_after(LAST_WORD_TIMEOUT_S):
+            with trio.move_on_after(LAST_LINE_TIMEOUT_S):
                 await connection.lines.send(last_line)
                 await connection.lines.send_eof()
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            return  # the client has closed it first
+            return  # the client has already closed the connection
 
     # One connection
 
@@ -144,9 +144,11 @@
         return b"served_ps=%.2f,busy_reqs=%d,x0=%.4f" % (setups_per_s, len(self.connections), self.load)
 
     async def _serve_request(self, lines: LineStream, request_line: bytes) -> None:
-        match = _OPEN.fullmatch(request_line)
+        match = _OPEN_LINE.fullmatch(request_line)
         if not match:
-            self._invariants.record_violation(f"{self.name} received {request_line[:80]!r}")
+            self._invariants.record_violation(
+                f"{self.name} received a malformed request line: {request_line[:80]!r}"
+            )
             await lines.send(b"SYNTAX\r\n")
             return
         request_id = match[1].decode()
@@ -163,18 +165,18 @@
             self._invariants.attempt_ended(attempt, "left", _now_ms())
 
     async def _set_up(self, lines: LineStream, attempt: Attempt, parameters: dict[str, str]) -> bool:
-        """Do the work of a setup; False where the client has another answer, or is gone."""
+        """Run the setup; return False if the client was answered otherwise or has disconnected."""
         if self.fault is not Fault.NONE and self._random.random() < self.fault_share:
-            await self._play_fault(lines, attempt)
+            await self._apply_fault(lines, attempt)
             return False
-        started_ms = _now_ms()
-        if self._is_full(started_ms):
+        started_at_ms = _now_ms()
+        if self._is_full(started_at_ms):
             await self._answer(lines, attempt, b"BUSY")
             return False
-        if not await _wait_while_connected(lines, self.capacity.enqueue_setup(started_ms)):
+        if not await _wait_while_connected(lines, self.capacity.enqueue_setup(started_at_ms)):
             return False
         timeout_ms = float(parameters.get("d", "inf"))
-        is_late = "at" not in parameters and _now_ms() - started_ms > timeout_ms
+        is_late = "at" not in parameters and _now_ms() - started_at_ms > timeout_ms
         if is_late or self.is_draining:
             await self._answer(lines, attempt, b"BUSY")
             return False
@@ -184,10 +186,10 @@
         return (
             self.is_draining
             or len(self.connections) >= self.settings.max_connections
-            or self.capacity.queue_ms(now_ms) > self.settings.max_queue_ms
+            or self.capacity.queue_delay_ms(now_ms) > self.settings.max_queue_ms
         )
 
-    async def _play_fault(self, lines: LineStream, attempt: Attempt) -> None:
+    async def _apply_fault(self, lines: LineStream, attempt: Attempt) -> None:
         match self.fault:
             case Fault.AT_CAPACITY:
                 await self._answer(lines, attempt, b"BUSY")
@@ -210,7 +212,7 @@
     async def _serve_connection(
         self, lines: LineStream, connection: StubConnection, attempt: Attempt
     ) -> None:
-        # the attempt ends with its answer: from now on the connection is established
+        # The attempt ends with its answer; from here on the connection is established.
         self._invariants.attempt_ended(attempt, "UP", _now_ms())
         self.setup_count += 1
         self.capacity.setup_finished(_now_ms())
@@ -229,7 +231,7 @@
 
 
 async def _wait_while_connected(lines: LineStream, wait_ms: float) -> bool:
-    """Wait that long; return False at once where the other side closes meanwhile."""
+    """Wait for `wait_ms`; return False as soon as the other side closes the connection."""
     with trio.move_on_after(max(wait_ms, 0.0) / 1000.0):
         while await lines.wait_for_input():
             pass
