--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool: open-loop arrivals, delays without coordinated omission, and checks of the tool itself."""
+"""The load tool: open-loop arrivals, delays without coordinated omission, and checks of its own lateness."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 from walkloom.client.metrics import Histogram
 from walkloom.lab import Fault, Fleet
-from walkloom.lab.load import LoadOptions, LoadReport, Phase, draw_arrivals, play
+from walkloom.lab.load import LoadOptions, LoadReport, Phase, draw_arrivals, generate_load
 
 
-def against(
+def run_against_fleet(
     body: Callable[[Fleet], Awaitable[LoadReport]], server_count: int = 1, **server_settings: float
 ) -> LoadReport:
     async def main() -> LoadReport:
@@ -27,7 +27,7 @@
     return trio.run(main, clock=MockClock(autojump_threshold=0.002))
 
 
-def load(fleet: Fleet, *phases: str, **changes: object) -> LoadOptions:
+def load_options(fleet: Fleet, *phases: str, **changes: object) -> LoadOptions:
     addresses = tuple(server.address for server in fleet.servers.values())
     return LoadOptions(addresses, tuple(map(Phase.parse, phases)), **changes)  # type: ignore[arg-type]
 
@@ -48,16 +48,16 @@
 
 def test_a_server_without_faults_has_a_clean_report() -> None:
     async def body(fleet: Fleet) -> LoadReport:
-        return await play(load(fleet, "20:10", mean_lifetime_s=2.0, line_interval_s=0.5))
+        return await generate_load(load_options(fleet, "20:10", mean_lifetime_s=2.0, line_interval_s=0.5))
 
-    report = against(body, setup_ms=5.0)
+    report = run_against_fleet(body, setup_ms=5.0)
     assert report.established == report.arrivals
     assert 150 <= report.established <= 250
     assert report.within_objective == report.established
     assert 4.5 <= report.setup_times.value_at(50) <= 12
     assert report.lines_sent > 300
     assert report.lines_unanswered <= 30
-    assert report.broken == report.migrated == report.failed == 0 and report.distrust_reason() == ""
+    assert report.broken == report.migrated == report.failed == 0 and report.unreliability_reason() == ""
     assert any("within the aim" in text for _, text in report.rows())
 
 
@@ -71,10 +71,10 @@
                 server.capacity.stall_until(trio.current_time() * 1000.0 + 1000.0)
 
             nursery.start_soon(stall)
-            return await play(load(fleet, "50:8", mean_lifetime_s=0.2, line_interval_s=0.0))
+            return await generate_load(load_options(fleet, "50:8", mean_lifetime_s=0.2, line_interval_s=0.0))
 
-    report = against(body, setup_ms=1.0, max_queue_ms=5000.0)
-    # one eighth of all arrivals waited half a second in the mean; a closed loop would have seen one of them
+    report = run_against_fleet(body, setup_ms=1.0, max_queue_ms=5000.0)
+    # The stall delays one eighth of all arrivals by half a second on average; a closed loop would see one.
     assert report.setup_times.value_at(50) < 5
     assert report.setup_times.value_at(95) >= 300
     assert report.setup_times.value_at(99) >= 700
@@ -84,16 +84,16 @@
     ("fault", "name"),
     [(Fault.AT_CAPACITY, "rejected"), (Fault.FAILING, "failed"), (Fault.SILENT, "timed_out")],
 )
-def test_each_kind_of_answer_is_counted_apart(fault: Fault, name: str) -> None:
+def test_each_kind_of_answer_is_counted_separately(fault: Fault, name: str) -> None:
     async def body(fleet: Fleet) -> LoadReport:
         fleet.servers["s-0"].fault = fault
-        return await play(load(fleet, "10:3"))
+        return await generate_load(load_options(fleet, "10:3"))
 
-    report = against(body)
+    report = run_against_fleet(body)
     assert getattr(report, name) == report.arrivals > 10 and report.established == 0
 
 
-def test_migrated_broken_and_unconnected_connections_are_counted_apart() -> None:
+def test_migrated_broken_and_unconnected_connections_are_counted_separately() -> None:
     async def body(fleet: Fleet) -> LoadReport:
         async def play_faults() -> None:
             await trio.sleep(2)
@@ -103,9 +103,9 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(play_faults)
-            return await play(load(fleet, "20:5", mean_lifetime_s=100.0))
+            return await generate_load(load_options(fleet, "20:5", mean_lifetime_s=100.0))
 
-    report = against(body, server_count=2)
+    report = run_against_fleet(body, server_count=2)
     assert report.migrated >= 10
     assert report.broken >= 10
     assert report.connect_failures >= 10
@@ -114,16 +114,16 @@
 
 def test_the_report_gives_the_reason_when_the_tool_was_too_slow() -> None:
     async def body(fleet: Fleet) -> LoadReport:
-        return await play(load(fleet, "20:5", mean_lifetime_s=100.0, max_connections=10))
+        return await generate_load(load_options(fleet, "20:5", mean_lifetime_s=100.0, max_connections=10))
 
-    report = against(body)
+    report = run_against_fleet(body)
     assert report.established == 10
     assert report.skipped == report.arrivals - 10
-    assert "not sent" in report.distrust_reason()
+    assert "not sent" in report.unreliability_reason()
     late = LoadReport()
     late.lateness.add(50.0)
-    assert "late" in late.distrust_reason()
-    assert "of a core" in LoadReport(cpu_share=0.95).distrust_reason()
+    assert "late" in late.unreliability_reason()
+    assert "of a core" in LoadReport(cpu_share=0.95).unreliability_reason()
 
 
 def test_reports_of_several_processes_add_up() -> None:
--- a/walkloom/cli/lab.py
+++ b/walkloom/cli/lab.py
@@ -1,4 +1,4 @@
-"""The commands `walkloom lab ...`: the laboratory's tools."""
+"""The commands `walkloom lab ...`: the tools of the laboratory."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from walkloom.lab.simulator import Result
 
-ROW_NAME_WIDTH = 34  # of the load report's longest name and a space or two
+ROW_NAME_WIDTH = 34  # fits the longest row name of the load report, with a space or two
 MAX_PRINTED_VIOLATIONS = 10  # one cause usually breaks a rule many times
 
 SIMULATION_COLUMNS = (
@@ -34,7 +34,7 @@
 
 @click.group("lab")
 def command() -> None:
-    """Measure what a balancer does. Everything stays on the addresses that you name."""
+    """Measure and test balancers. Traffic goes only to the addresses given, or stays on this machine."""
 
 
 @command.command("load")
@@ -46,14 +46,19 @@
     multiple=True,
     required=True,
     metavar="RATE[-RATE]:SECONDS",
-    help="New connections a second, and for how long; again for the next phase.",
+    help="New connections per second, and the duration; repeat the option for further phases.",
+)
+@click.option("--life", default=10.0, show_default=True, help="Mean lifetime of a connection, in seconds.")
+@click.option(
+    "--line-every",
+    default=2.0,
+    show_default=True,
+    help="Seconds between two lines of a connection; 0: send none.",
 )
-@click.option("--life", default=10.0, show_default=True, help="Mean life of a connection, s.")
-@click.option("--line-every", default=2.0, show_default=True, help="Seconds between two lines; 0: none.")
 @click.option("--processes", default=1, show_default=True)
-@click.option("--open-most", default=10_000, show_default=True, help="Most connections at a time.")
+@click.option("--open-most", default=10_000, show_default=True, help="Maximum number of open connections.")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--json", "out", type=click.Path(dir_okay=False), help="Write the figures there too.")
+@click.option("--json", "out", type=click.Path(dir_okay=False), help="Also write the results to this file.")
 def load(
     addresses: tuple[str, ...],
     phases: tuple[str, ...],
@@ -64,10 +69,10 @@
     seed: int,
     out: str | None,
 ) -> None:
-    """Open-loop load against ADDRESSES (host:port each): arrivals do not wait for answers.
+    """Generate open-loop load against ADDRESSES (host:port each): arrivals do not wait for answers.
 
-    Delays count from the time at which something was to be sent. Exit code 1: the tool itself was too
-    slow, and its figures say little of the balancer.
+    Delays are measured from the scheduled time of sending. Exit code 1: the tool itself was too slow, so its
+    results do not reflect the balancer.
     """
     from walkloom.lab.load import LoadError, LoadOptions, Phase, run
     from walkloom.lab.load.json_file import write_json
@@ -89,8 +94,8 @@
         click.echo(f"{name:<{ROW_NAME_WIDTH}} {figures}")
     if out:
         write_json(Path(out), options, report)
-    if reason := report.distrust_reason():
-        click.echo(f"walkloom: not to be trusted: {reason}", err=True)
+    if reason := report.unreliability_reason():
+        click.echo(f"walkloom: results are unreliable: {reason}", err=True)
         sys.exit(1)
 
 
@@ -98,7 +103,7 @@
 @click.option("--servers", multiple=True, default=(10,), show_default=True, type=click.IntRange(2, 20_000))
 @click.option("--balancers", multiple=True, default=(3,), show_default=True, type=click.IntRange(1, 1000))
 @click.option("--seconds", default=20.0, show_default=True, type=click.FloatRange(1.0, 3600.0))
-@click.option("--rate", default=1.0, show_default=True, help="New connections a second for each server.")
+@click.option("--rate", default=1.0, show_default=True, help="New connections per second for each server.")
 @click.option("--seeds", default=1, show_default=True, type=click.IntRange(1, 1000))
 @click.option("--processes", default=1, show_default=True, type=click.IntRange(1, 64))
 def sim(
@@ -109,10 +114,11 @@
     seeds: int,
     processes: int,
 ) -> None:
-    """The decision module at large size, in virtual time: a row for each size, the median over the seeds.
+    """Simulate large fleets with the real policy in virtual time; prints one row per size.
 
-    A third into each run a tenth of the servers drains, at a half one in twenty crashes, and at two thirds
-    a tenth fails most set-ups for a while. Exit code 1: a rule was broken.
+    Each row gives medians over the seeds. After a third of each run a tenth of the servers drains, at half
+    one in twenty crashes, and at two thirds a tenth fails most set-ups for a while. Exit code 1: a rule was
+    broken.
     """
     from walkloom.lab.simulator import Experiment, run_all
 
@@ -125,9 +131,9 @@
     results = run_all(experiments, processes)
     click.echo(_table_row(SIMULATION_COLUMNS))
     click.echo("|" + "---|" * len(SIMULATION_COLUMNS))
-    for place, size in enumerate(sizes):
-        of_size = results[place * seeds : (place + 1) * seeds]
-        click.echo(_table_row([*map(str, size), *_simulation_figures(of_size, seconds)]))
+    for index, size in enumerate(sizes):
+        size_results = results[index * seeds : (index + 1) * seeds]
+        click.echo(_table_row([*map(str, size), *_simulation_figures(size_results, seconds)]))
     violations = [violation for result in results for violation in result.violations]
     for violation in violations[:MAX_PRINTED_VIOLATIONS]:
         click.echo(f"walkloom: {violation}", err=True)
@@ -136,14 +142,21 @@
 
 @command.command("soak")
 @click.option("--seed", default=1, show_default=True, help="The first seed.")
-@click.option("--runs", default=1, show_default=True, type=click.IntRange(1, 1000), help="Seeds in a row.")
-@click.option("--parallel", default=2, show_default=True, type=click.IntRange(1, 16), help="Runs at a time.")
-@click.option("--small", is_flag=True, help="Three processes and fewer requests a run, as CI plays it.")
-@click.option("--report", type=click.Path(file_okay=False), help="Write a timeline of each violation there.")
+@click.option(
+    "--runs", default=1, show_default=True, type=click.IntRange(1, 1000), help="Number of consecutive seeds."
+)
+@click.option(
+    "--parallel", default=2, show_default=True, type=click.IntRange(1, 16), help="Number of concurrent runs."
+)
+@click.option("--small", is_flag=True, help="Three processes and fewer requests per run, as in CI.")
+@click.option(
+    "--report", type=click.Path(file_okay=False), help="Write a timeline of each violation to this directory."
+)
 def soak(seed: int, runs: int, parallel: int, small: bool, report: str | None) -> None:
-    """Real balancers under seeded faults, checked by what the stand-ins saw: a verdict for each seed.
+    """Run real balancers under seeded faults, checked against the records of the stand-ins.
 
-    The same seed gives the same deployment, clients and faults. Exit code 1: a rule was broken.
+    Prints a result for each seed. The same seed gives the same deployment, clients and faults. Exit code 1: a
+    rule was broken.
     """
     from walkloom.lab.soak.campaign import run_seeds
 
@@ -158,7 +171,7 @@
 
 
 def _simulation_figures(results: Sequence[Result], duration_s: float) -> list[str]:
-    """Return the medians over the seeds of one size, in the order of the columns."""
+    """Return the medians over the seeds of one size, in the order of SIMULATION_COLUMNS."""
     from statistics import median
 
     from walkloom.lab.simulator import RequestResult
--- a/walkloom/lab/load/connection.py
+++ b/walkloom/lab/load/connection.py
@@ -12,31 +12,31 @@
 from walkloom.lab.settings import LabClass
 from walkloom.transport.line_stream import LineError, LineStream
 
-LINE = b"SHEET 17\r\n"  # any line of the platform: servers and balancers do not look into it
-MIN_TIMEOUT_MS = 1.0  # the least that a request line can say
+LINE = b"SHEET 17\r\n"  # any content will do: servers and balancers do not parse it
+MIN_TIMEOUT_MS = 1.0  # of a request line, which gives it as a whole number above 0
 
 
 class LoadConnection:
-    """A client that opens one connection, sends lines at their times and closes it at the end of its life."""
+    """Opens one connection, sends lines on schedule and closes it at the end of its lifetime."""
 
-    def __init__(self, options: LoadOptions, report: LoadReport, seed: int, due_s: float) -> None:
-        """Draw the client; `due_s` is when its request was to begin, from which its delays count."""
+    def __init__(self, options: LoadOptions, report: LoadReport, seed: int, due_at_s: float) -> None:
+        """Draw the client's parameters; `due_at_s` is the scheduled start, from which delays are measured."""
         self._options = options
         self._report = report
         self._seed = seed
-        self._due_s = due_s
+        self._due_at_s = due_at_s
         self._random = Random(seed)
         weights = [each.share for each in options.classes]
         self._class: LabClass = self._random.choices(options.classes, weights)[0]
         self._lines: LineStream | None = None
-        # when each line without an answer was to be sent, the oldest first
-        self._unanswered_due_s: list[float] = []
-        self._last_word = b""
+        # scheduled times of the lines that are not answered yet, the oldest first
+        self._unanswered_due_at_s: list[float] = []
+        self._last_command = b""
 
     async def run(self) -> None:
-        """Live from the request to the end of the connection."""
+        """Run the connection from its request to its end."""
         try:
-            await self._request()
+            await self._send_request()
         except (trio.BrokenResourceError, LineError):
             self._report.failed += 1
         finally:
@@ -46,9 +46,9 @@
 
     # The request
 
-    async def _request(self) -> None:
+    async def _send_request(self) -> None:
         answer = b""
-        with trio.move_on_at(self._due_s + self._class.deadline_ms / 1000.0) as scope:
+        with trio.move_on_at(self._due_at_s + self._class.deadline_ms / 1000.0) as scope:
             host, _, port = self._random.choice(self._options.addresses).rpartition(":")
             try:
                 self._lines = LineStream(await trio.open_tcp_stream(host, int(port)))
@@ -60,7 +60,7 @@
         if scope.cancelled_caught:
             self._report.timed_out += 1
         elif answer.startswith(b"UP"):
-            await self._established()
+            await self._run_established()
         elif answer.startswith(b"BUSY"):
             self._report.rejected += 1
         else:
@@ -72,8 +72,8 @@
         parameters = f"c={self._class.name},t={tenant},d={max(timeout_ms, MIN_TIMEOUT_MS):.0f},g={group:x}"
         return f"OPEN {self._seed:016x} {self._seed:016x} {parameters}\r\n".encode()
 
-    async def _established(self) -> None:
-        setup_ms = (trio.current_time() - self._due_s) * 1000.0
+    async def _run_established(self) -> None:
+        setup_ms = (trio.current_time() - self._due_at_s) * 1000.0
         self._report.established += 1
         self._report.within_objective += setup_ms <= self._class.latency_objective_ms
         self._report.setup_times.add(setup_ms)
@@ -82,16 +82,16 @@
 
     # The established connection
 
-    async def _exchange_lines(self, until_s: float) -> None:
-        with trio.move_on_at(until_s) as scope:
+    async def _exchange_lines(self, end_at_s: float) -> None:
+        with trio.move_on_at(end_at_s) as scope:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._send_lines)
                 await self._receive_lines()
                 nursery.cancel_scope.cancel()
         if not scope.cancelled_caught:
-            self._report.migrated += self._last_word == b"MOVE"
-            self._report.broken += self._last_word not in (b"MOVE", b"BYE")
-        self._report.lines_unanswered += len(self._unanswered_due_s)
+            self._report.migrated += self._last_command == b"MOVE"
+            self._report.broken += self._last_command not in (b"MOVE", b"BYE")
+        self._report.lines_unanswered += len(self._unanswered_due_at_s)
 
     async def _receive_lines(self) -> None:
         assert self._lines
@@ -99,20 +99,20 @@
             while data := await self._lines.read_complete_lines():
                 now_s = trio.current_time()
                 for line in data.splitlines():
-                    self._last_word = line.split(b" ", 1)[0]
-                    if self._last_word in (b"MOVE", b"BYE"):
+                    self._last_command = line.split(b" ", 1)[0]
+                    if self._last_command in (b"MOVE", b"BYE"):
                         return
-                    if self._last_word != b"LOAD" and self._unanswered_due_s:
-                        self._report.line_times.add((now_s - self._unanswered_due_s.pop(0)) * 1000.0)
+                    if self._last_command != b"LOAD" and self._unanswered_due_at_s:
+                        self._report.line_times.add((now_s - self._unanswered_due_at_s.pop(0)) * 1000.0)
 
     async def _send_lines(self) -> None:
         assert self._lines
         interval_s = self._options.line_interval_s
-        due_s = trio.current_time() + interval_s * self._random.random()
+        due_at_s = trio.current_time() + interval_s * self._random.random()
         with suppress(trio.BrokenResourceError):
             while interval_s:
-                await trio.sleep_until(due_s)
-                self._unanswered_due_s.append(due_s)
+                await trio.sleep_until(due_at_s)
+                self._unanswered_due_at_s.append(due_at_s)
                 self._report.lines_sent += 1
                 await self._lines.send(LINE)
-                due_s += interval_s
+                due_at_s += interval_s
--- a/walkloom/lab/load/errors.py
+++ b/walkloom/lab/load/errors.py
@@ -1,7 +1,7 @@
-"""The errors of the load tool."""
+"""Errors of the load tool."""
 
 from __future__ import annotations
 
 
 class LoadError(ValueError):
-    """A load that makes no sense; the text says what is wrong."""
+    """Invalid parameters of a load; the message names the cause."""
--- a/walkloom/lab/load/json_file.py
+++ b/walkloom/lab/load/json_file.py
@@ -1,6 +1,6 @@
 """The file that `walkloom lab load --json` writes.
 
-Its keys are those of the first release, so that files of different versions can be compared.
+The keys are those of the first release, so that files of different versions can be compared.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def write_json(path: Path, options: LoadOptions, report: LoadReport) -> None:
-    """Write a load and its report; an existing file is replaced."""
+    """Write the options and the report of a load; an existing file is replaced."""
     content = {"load": _encode_options(options), "report": _encode_report(report)}
     path.write_bytes(orjson.dumps(content, option=orjson.OPT_INDENT_2))
 
--- a/walkloom/lab/load/runner.py
+++ b/walkloom/lab/load/runner.py
@@ -1,4 +1,4 @@
-"""Plays a load, in one process or several."""
+"""Generates a load, in one process or several."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from walkloom.lab.load.phases import draw_arrivals
 from walkloom.lab.load.report import LoadReport
 
-RESERVED_DESCRIPTORS = 64  # of a process, for all that is not a connection of the load
-SEED_BITS = 64  # as a request id on the wire has
+RESERVED_DESCRIPTORS = 64  # of a process, for everything but connections of the load
+SEED_BITS = 64  # the size of a request id on the wire
 
 
 def run(options: LoadOptions) -> LoadReport:
-    """Play a load; blocks until its last connection has ended."""
+    """Generate a load; blocks until its last connection has ended."""
     total = LoadReport()
     if options.processes == 1:
         total.add(_run_process(options, 0))
@@ -35,34 +35,34 @@
 def _run_process(options: LoadOptions, process: int) -> LoadReport:
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
-    of_process = options.max_connections // options.processes
-    max_connections = min(of_process, hard_limit - RESERVED_DESCRIPTORS)
-    return trio.run(play, replace(options, max_connections=max_connections), process)
+    process_limit = options.max_connections // options.processes
+    max_connections = min(process_limit, hard_limit - RESERVED_DESCRIPTORS)
+    return trio.run(generate_load, replace(options, max_connections=max_connections), process)
 
 
-async def play(options: LoadOptions, process: int = 0) -> LoadReport:
-    """Play one process's share of a load, on the caller's loop."""
+async def generate_load(options: LoadOptions, process: int = 0) -> LoadReport:
+    """Generate the share of a load that falls to one process, on the caller's event loop."""
     report = LoadReport()
     random = Random(f"{options.seed}/{process}")
     limiter = trio.CapacityLimiter(options.max_connections)
-    start_s = trio.current_time()
+    started_at_s = trio.current_time()
     start_cpu_s = _cpu_s()
     async with trio.open_nursery() as nursery:
-        for arrival_s in draw_arrivals(options.phases, 1.0 / options.processes, random):
-            due_s = start_s + arrival_s
-            await trio.sleep_until(due_s)
+        for arrival_offset_s in draw_arrivals(options.phases, 1.0 / options.processes, random):
+            due_at_s = started_at_s + arrival_offset_s
+            await trio.sleep_until(due_at_s)
             report.arrivals += 1
-            report.lateness.add((trio.current_time() - start_s - arrival_s) * 1000.0)
+            report.lateness.add((trio.current_time() - started_at_s - arrival_offset_s) * 1000.0)
             borrower = object()
             try:
                 limiter.acquire_on_behalf_of_nowait(borrower)
             except trio.WouldBlock:
                 report.skipped += 1
                 continue
-            connection = LoadConnection(options, report, random.getrandbits(SEED_BITS), due_s)
+            connection = LoadConnection(options, report, random.getrandbits(SEED_BITS), due_at_s)
             nursery.start_soon(_run_connection, connection, limiter, borrower)
-        await trio.sleep_until(start_s + options.duration_s)
-        report.cpu_share = (_cpu_s() - start_cpu_s) / max(trio.current_time() - start_s, 1e-9)
+        await trio.sleep_until(started_at_s + options.duration_s)
+        report.cpu_share = (_cpu_s() - start_cpu_s) / max(trio.current_time() - started_at_s, 1e-9)
     return report
 
 
