--- a/tests/frontends/line/harness.py
+++ b/tests/frontends/line/harness.py
@@ -82,7 +82,7 @@
     world.servers = ("a", "b")
 
     async def accept_connection(stream: trio.SocketStream) -> None:
-        world.take(LinePeer(stream))
+        world.add_server_connection(LinePeer(stream))
         await trio.sleep_forever()
 
     entries = []
--- a/tests/frontends/line/test_frontend.py
+++ b/tests/frontends/line/test_frontend.py
@@ -523,7 +523,7 @@
 def run_watch(script: str, polls_endpoint_list: bool = True, **changes: object) -> None:
     async def start_watcher(world: scenario.World) -> None:
         async def accept_connection(stream: trio.SocketStream) -> None:
-            world.take(LinePeer(stream))
+            world.add_server_connection(LinePeer(stream))
             await trio.sleep_forever()
 
         async def change_discovery(crossing: str) -> None:
--- a/tests/frontends/quic/harness.py
+++ b/tests/frontends/quic/harness.py
@@ -219,7 +219,7 @@
     address = await world.nursery.start(frontend.run)
     second_world = scenario.World(world.nursery)
     second_world.servers = world.servers
-    second_world.listed("up")
+    second_world.list_servers_as("up")
     second_frontend = QuicFrontend(second_world.engine, conf)
     world.second_balancer_address = await world.nursery.start(second_frontend.run)
 
@@ -250,5 +250,5 @@
             datagram, address = await sock.recvfrom(LARGEST_DATAGRAM_BYTES)
             if address not in paths:
                 paths[address] = ServerPath(server, sock, address)
-                world.take(paths[address])
+                world.add_server_connection(paths[address])
             paths[address].put.send_nowait(datagram)
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,18 +1,20 @@
-"""The scenario language: a line a step, played against a frontend on loopback by stub peers.
-
-    c send TEXT       a peer sends; clients (c, c2, ...) connect by their first send
-    c part TEXT       the same without a line's end
-    s1 expect GLOB    the next thing that comes matches; s1: the first connection at any server, s2: the next
-    c close | reset   ends the connection
-    s1 flood          sends lines until nothing more is taken; c flooded LAST takes them and another one
-    wait MS           time passes, on the mock clock
-    within MS STEP    the step takes no longer
-    after MS STEP     the step does not come earlier
-    list STATE        every server is listed so (up, draining, removed)
-    stop              the balancer begins to migrate its connections
-    VERB WHAT         what the builder of the scenario adds
-
-A closed or reset connection reads as EOF or RESET.
+"""The scenario language: stub peers run a script, one step a line, against a frontend on loopback.
+
+    c send TEXT       the peer sends a line; a client (c, c2, ...) connects before its first step
+    c part TEXT       the peer sends the text without a line end
+    s1 expect GLOB    the next line or datagram that the peer receives matches the pattern;
+                      s1 is the first connection at any server, s2 the second
+    c close | reset   the peer closes or resets its connection
+    s1 flood          the peer sends lines until its send buffer is full
+    c flooded LAST    the peer receives these lines, and LAST after them
+    wait MS           the mock clock advances
+    within MS STEP    the step succeeds within this time
+    after MS STEP     the step succeeds, but not within this time
+    list STATE        discovery lists every server in this state (up, draining, removed)
+    stop              the engine starts to migrate its connections
+    VERB ARGUMENTS    a step that the builder of the scenario adds
+
+`expect` matches EOF or RESET once the connection is closed or reset.
 """
 
 from __future__ import annotations
@@ -29,32 +31,33 @@
 from walkloom.engine.engine import Engine
 from walkloom.messages import Endpoint, Lifecycle, UpdateKind
 
-# How long one step may take, on the mock clock.
-STEP_LIMIT_S = 120
+# On the mock clock.
+STEP_TIMEOUT_S = 120
 
-STATES = {"up": Lifecycle.READY, "draining": Lifecycle.DRAINING, "removed": Lifecycle.REMOVED}
+LIFECYCLES = {"up": Lifecycle.READY, "draining": Lifecycle.DRAINING, "removed": Lifecycle.REMOVED}
 
 
 class Peer(Protocol):
-    """One end of a connection, as a scenario drives it: a client, or a connection at a server."""
+    """One end of a connection that a scenario controls: a client, or a connection at a server."""
 
     async def send(self, text: str) -> None:
         """Send a line or a datagram."""
 
     async def receive(self) -> str:
-        """Return the next thing that comes; EOF or RESET at the end."""
+        """Return the next line or datagram; EOF or RESET when the connection has ended."""
 
     async def close(self) -> None:
-        """End the connection in order."""
+        """Close the connection gracefully."""
 
     async def reset(self) -> None:
-        """End the connection by a reset."""
+        """Reset the connection."""
 
 
 class World:
     """An engine with its tasks, and the peers of one scenario.
 
-    The builder of the scenario sets `dial`, which makes a client, `servers`, and `verbs` where it adds steps.
+    The builder of the scenario sets `dial`, which connects a client, and `servers`, the names of the servers.
+    It adds its own steps to `verbs`.
     """
 
     def __init__(self, nursery: trio.Nursery, connect_timeout: float = 60.0, **changes: object) -> None:
@@ -63,128 +66,131 @@
         self.nursery = nursery
         self.connect_timeout = connect_timeout
         self.servers: tuple[str, ...] = ()
-        # Of the servers.
+        # The listeners of the servers.
         self.listeners: list[trio.SocketListener] = []
         self.clients: dict[str, Any] = {}
-        # Connections at the servers, in the order in which they came.
-        self.taken: list[Any] = []
-        self._came = trio.Event()
+        # Connections at the servers, in the order in which they were accepted.
+        self.server_connections: list[Any] = []
+        self._connection_added = trio.Event()
         self.dial: Callable[[str], Awaitable[Any]]
         self.verbs: dict[str, Callable[[str], Awaitable[None]]] = {}
         nursery.start_soon(self.engine.run_timers)
         nursery.start_soon(self.engine.run_latency_monitor)
 
-    def listed(self, state: str) -> None:
-        """Tell the engine a list in which every server is in this state."""
-        lines = (Endpoint(name, lifecycle=STATES[state]) for name in self.servers)
-        self.engine.endpoint_list_received(UpdateKind.SNAPSHOT, lines)
-
-    def take(self, peer: Peer) -> None:
-        """Note that a connection has come to a server."""
-        self.taken.append(peer)
-        self._came.set()
-        self._came = trio.Event()
-
-    async def peer(self, who: str) -> Peer:
-        """Return the peer of a name; waits for a server's connection, and dials a client's first."""
-        if who.startswith("s"):
-            while len(self.taken) < int(who[1:]):
-                await self._came.wait()
-            return self.taken[int(who[1:]) - 1]  # type: ignore[no-any-return]
-        if who not in self.clients:
-            self.clients[who] = await self.dial(who)
-        return self.clients[who]  # type: ignore[no-any-return]
+    def list_servers_as(self, state: str) -> None:
+        """Send the engine an endpoint list in which every server is in this state."""
+        endpoints = (Endpoint(name, lifecycle=LIFECYCLES[state]) for name in self.servers)
+        self.engine.endpoint_list_received(UpdateKind.SNAPSHOT, endpoints)
+
+    def add_server_connection(self, peer: Peer) -> None:
+        """Add a connection that a server has accepted."""
+        self.server_connections.append(peer)
+        self._connection_added.set()
+        self._connection_added = trio.Event()
+
+    async def get_peer(self, name: str) -> Peer:
+        """Return a peer by its name; waits for a connection at a server, and connects a client if needed."""
+        if name.startswith("s"):
+            while len(self.server_connections) < int(name[1:]):
+                await self._connection_added.wait()
+            return self.server_connections[int(name[1:]) - 1]  # type: ignore[no-any-return]
+        if name not in self.clients:
+            self.clients[name] = await self.dial(name)
+        return self.clients[name]  # type: ignore[no-any-return]
 
     async def play(self, script: str) -> None:
-        """Play a script; an AssertionError names the step that failed."""
+        """Run a script. Raises AssertionError with the step that failed."""
         for step in filter(None, map(str.strip, script.splitlines())):
             try:
-                with trio.fail_after(STEP_LIMIT_S):
+                with trio.fail_after(STEP_TIMEOUT_S):
                     await self._step(step)
             except Exception as error:
                 raise AssertionError(f"at step {step!r}: {error!r}") from error
 
     async def _step(self, step: str) -> None:
-        who, _, rest = step.partition(" ")
-        verb, _, what = rest.partition(" ")
-        if who == "within":
+        name, _, rest = step.partition(" ")
+        verb, _, arguments = rest.partition(" ")
+        if name == "within":
             with trio.fail_after(float(verb) / 1000.0):
-                await self._step(what)
-        elif who == "after":
-            with trio.move_on_after(float(verb) / 1000.0) as early:
-                await self._step(what)
-            assert early.cancelled_caught, "came too early"
-            await self._step(what)
-        elif who == "wait":
+                await self._step(arguments)
+        elif name == "after":
+            with trio.move_on_after(float(verb) / 1000.0) as timeout:
+                await self._step(arguments)
+            assert timeout.cancelled_caught, "the step succeeded too early"
+            await self._step(arguments)
+        elif name == "wait":
             await trio.sleep(float(rest) / 1000.0)
-        elif who in self.verbs:
-            await self.verbs[who](rest)
-        elif who == "list":
-            self.listed(rest)
-        elif who == "stop":
+        elif name in self.verbs:
+            await self.verbs[name](rest)
+        elif name == "list":
+            self.list_servers_as(rest)
+        elif name == "stop":
             self.nursery.start_soon(self.engine.migrate_connections, 0.5, 1.5)
         else:
-            await self._peer_step(await self.peer(who), verb, what)
+            await self._peer_step(await self.get_peer(name), verb, arguments)
 
-    async def _peer_step(self, peer: Any, verb: str, what: str) -> None:
+    async def _peer_step(self, peer: Any, verb: str, arguments: str) -> None:
         if verb == "expect":
-            got = await peer.receive()
-            assert fnmatchcase(got, what), f"got {got!r}"
+            received = await peer.receive()
+            assert fnmatchcase(received, arguments), f"got {received!r}"
         elif verb in ("send", "part", "flooded"):
-            await getattr(peer, verb)(what)
+            await getattr(peer, verb)(arguments)
         else:
             await getattr(peer, verb)()
 
 
 class BeforeStep(trio.abc.Instrument):
-    """Does something once, right before the next step of a task: both were woken in the same tick."""
+    """Calls a function once, right before the next step of a task: in the tick in which the task wakes."""
 
-    def __init__(self, task: str, do: Callable[[], None]) -> None:
-        """Wait for the task whose name ends so."""
-        self.task = task
-        self.do = do
+    def __init__(self, task_name: str, callback: Callable[[], None]) -> None:
+        """Wait for a step of the task whose name ends in `task_name`."""
+        self.task_name = task_name
+        self.callback = callback
         trio.lowlevel.add_instrument(self)
 
     def before_task_step(self, task: trio.lowlevel.Task) -> None:
-        """Act once; trio calls this before each step of each task."""
-        if task.name.endswith(self.task):
+        """Call the function if this is the task; trio calls this method before each step of each task."""
+        if task.name.endswith(self.task_name):
             trio.lowlevel.remove_instrument(self)
-            self.do()
+            self.callback()
 
 
-class Faults(logging.Handler):
-    """Keeps what the program logs as an error of its own: it survives them, and a scenario must see them."""
+class ErrorRecorder(logging.Handler):
+    """Records what the program logs at level ERROR: it survives these errors, but a scenario reports them."""
 
     def __init__(self) -> None:
         super().__init__(logging.ERROR)
-        self.seen: list[str] = []
+        self.messages: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep the record's line."""
-        self.seen.append(record.getMessage())
+        """Record the formatted message."""
+        self.messages.append(record.getMessage())
 
 
 def run(
-    script: str, build: Callable[[World], Awaitable[None]], faults: tuple[str, ...] = (), **changes: Any
+    script: str,
+    build: Callable[[World], Awaitable[None]],
+    expected_errors: tuple[str, ...] = (),
+    **changes: Any,
 ) -> None:
-    """Play a script against what `build` makes of the world.
+    """Run a script against the program that `build` starts in the world.
 
-    faults: the log events at level ERROR that are expected, in order. changes: of the settings.
+    `expected_errors` are the log events at level ERROR, in order. `changes` are the settings to change.
     """
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
             world = World(nursery, **changes)
             await build(world)
-            world.listed("up")
+            world.list_servers_as("up")
             await world.play(script)
             nursery.cancel_scope.cancel()
 
-    # Loopback is delivered at once, so whatever is idle for 10 ms waits for time only.
-    handler = Faults()
+    # Loopback delivers at once, so a program that is idle for 10 ms waits only for the clock.
+    handler = ErrorRecorder()
     logging.getLogger("walkloom").addHandler(handler)
     try:
         trio.run(main, clock=MockClock(autojump_threshold=0.01))
     finally:
         logging.getLogger("walkloom").removeHandler(handler)
-    assert tuple(line.split()[0] for line in handler.seen) == faults, handler.seen
+    assert tuple(message.split()[0] for message in handler.messages) == expected_errors, handler.messages
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -1,6 +1,6 @@
-"""Random clients and servers against a whole balancer, with updates, migrations, few descriptors, a shutdown.
+"""Runs a whole balancer, until its shutdown, with random clients, servers, lists, migrations and limits.
 
-Seeds are fixed, and time is the mock clock's: what these runs once found has a test of its own elsewhere.
+Seeds are fixed, and the clock is a mock. Faults that these runs have found have tests of their own elsewhere.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 CLIENT_COUNT = 40
 SERVER_NAMES = "abc"
 
-# SIGKILL comes so long after SIGTERM.
+# From SIGTERM to SIGKILL.
 SIGKILL_AFTER_S = 3.7
 
-# Slack of every time on sockets.
+# Allowed delay of an answer beyond its deadline, as it crosses a socket.
 SLACK_S = 0.05
 
-# How long after its client has left a request may still come to a server.
+# How long after its client has left a request may still reach a server.
 CLIENT_LEFT_SLACK_S = 0.3
 
-# As in the scenarios' settings.
+# The value in the settings of tests/scenario.py.
 MAX_ATTEMPTS = 3
 
-# What a server answers to a request: lines, half a line, an end, or nothing.
+# What a server answers to a request: lines, half a line, a close, a reset, or nothing.
 HALF_RECEIPT = "UP 7"
 RECEIPT = "UP 1"
 SERVER_ANSWERS = [
@@ -51,16 +51,16 @@
 ]
 SERVER_ANSWER_DELAYS_S = [0, 0, 0, 0.01, 0.05, 0.3, 0.6, 1.5]
 
-# How a server ends a connection that it has taken.
+# How a server ends an established connection.
 HALF_LINE = "M 1 ha"
 SERVER_LAST_LINES = ["BYE", "MOVE", "reset", HALF_LINE, ""]
 
 
 class Record:
-    """What crossed the sockets, and which rules were broken."""
+    """Attempts and clients as seen on the sockets, and the violations of rules."""
 
     def __init__(self) -> None:
-        # By the id on the wire: when each attempt came to a server, and when its connection ended.
+        # By request id on the wire: when each attempt reached a server, and when its connection ended.
         self.attempts_started = defaultdict[str, list[float]](list)
         self.attempts_ended = defaultdict[str, list[float]](list)
         self.clients_left: dict[str, float] = {}
@@ -76,44 +76,44 @@
             if any(later < before for before, later in zip(ended, started[1:], strict=False)):
                 self.violations.append(f"{request_id}: two attempts at once")
             if started[-1] > self.clients_left.get(request_id, math.inf) + CLIENT_LEFT_SLACK_S:
-                self.violations.append(f"{request_id}: sent on after its client had left")
+                self.violations.append(f"{request_id}: sent after its client had left")
         return self.violations
 
 
 class RandomServerConnection:
-    """One connection at a server: an answer of any kind, some lines, an end of any kind."""
+    """One connection at a server: a random answer, some lines and a random end."""
 
     def __init__(self, rng: Random, record: Record, stream: trio.SocketStream) -> None:
         self._rng = rng
         self._record = record
         self._stream = stream
         self._peer = LinePeer(stream)
-        # Of the request that came; empty for a poll of the load report.
+        # Empty until a request arrives, and for a poll of the load report.
         self._request_id = ""
-        self._put_line, self._lines = trio.open_memory_channel[str](math.inf)
+        self._line_sender, self._line_receiver = trio.open_memory_channel[str](math.inf)
 
     async def serve(self) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._read, nursery.cancel_scope)
-            nursery.start_soon(self._speak_until_broken)
+            nursery.start_soon(self._serve_until_broken)
         if self._request_id:
             self._record.attempts_ended[self._request_id].append(trio.current_time())
         await trio.aclose_forcefully(self._stream)
 
     async def _read(self, scope: trio.CancelScope) -> None:
-        # Closed: this side has reset it.
+        # Raised where this side has reset the connection.
         with suppress(trio.ClosedResourceError):
             while (line := await self._peer.receive()) not in ("EOF", "RESET"):
-                self._put_line.send_nowait(line)
+                self._line_sender.send_nowait(line)
         scope.cancel()
 
-    async def _speak_until_broken(self) -> None:
+    async def _serve_until_broken(self) -> None:
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-            await self._speak()
+            await self._serve_request()
 
-    async def _speak(self) -> None:
-        line = await self._lines.receive()
-        # Nobody answers a poll.
+    async def _serve_request(self) -> None:
+        line = await self._line_receiver.receive()
+        # Polls of the load report are not answered.
         if not line.startswith("OPEN"):
             return
         self._request_id = line.split()[1]
@@ -125,21 +125,21 @@
         elif answer == "reset":
             await self._peer.reset()
         else:
-            await self._send(answer, is_part=answer == HALF_RECEIPT)
-            await self._return_lines(is_established=answer == RECEIPT)
+            await self._send(answer, is_partial=answer == HALF_RECEIPT)
+            await self._echo_lines(is_established=answer == RECEIPT)
             await self._end()
 
-    async def _send(self, text: str, is_part: bool) -> None:
-        if is_part:
+    async def _send(self, text: str, is_partial: bool) -> None:
+        if is_partial:
             await self._peer.part(text)
         else:
             await self._peer.send(text)
 
-    async def _return_lines(self, is_established: bool) -> None:
+    async def _echo_lines(self, is_established: bool) -> None:
         end_at = trio.current_time() + self._rng.uniform(0, 6)
         while is_established and trio.current_time() < end_at:
             with trio.move_on_after(self._rng.uniform(0.4, 2)):
-                await self._peer.send(await self._lines.receive() + " ok")
+                await self._peer.send(await self._line_receiver.receive() + " ok")
             for _ in range(self._rng.choice([0] * 30 + [400])):
                 await self._peer.send(FLOOD_LINE)
 
@@ -148,12 +148,12 @@
         if last_line == "reset":
             await self._peer.reset()
         elif last_line:
-            await self._send(last_line, is_part=last_line == HALF_LINE)
+            await self._send(last_line, is_partial=last_line == HALF_LINE)
             await self._peer.close()
 
 
 class RandomClient:
-    """A client that comes some time, in pieces or at once, and may leave before its answer or after."""
+    """A client that connects at a random time, sends its request in one or two parts, and may leave early."""
 
     def __init__(self, rng: Random, record: Record, number: int) -> None:
         self._rng = rng
@@ -168,35 +168,35 @@
             # The balancer has exited.
             return
         try:
-            await self._call(peer)
+            await self._send_request_and_lines(peer)
         except trio.BrokenResourceError:
-            # It was established, and ended as the client was to send.
+            # The established connection ended before the client sent a line.
             pass
         finally:
             await peer.lines.close()
 
-    async def _call(self, peer: LinePeer) -> None:
-        patience_ms = self._rng.choice([50, 300, 1000, 2000, 3000])
+    async def _send_request_and_lines(self, peer: LinePeer) -> None:
+        deadline_ms = self._rng.choice([50, 300, 1000, 2000, 3000])
         group = self._rng.randrange(1, 4)
-        request_line = f"OPEN {self._request_id} 7f c=chat,t=acme,d={patience_ms},g={group}"
+        request_line = f"OPEN {self._request_id} 7f c=chat,t=acme,d={deadline_ms},g={group}"
         leave = peer.close if self._rng.random() < 0.5 else peer.reset
         await self._send_request(peer, request_line)
         sent_at = trio.current_time()
-        with trio.move_on_after(self._rng.choice([math.inf] * 6 + [0, 0.01, 0.05, 0.3, 1.0])) as patience:
+        with trio.move_on_after(self._rng.choice([math.inf] * 6 + [0, 0.01, 0.05, 0.3, 1.0])) as answer_scope:
             answer = await peer.receive()
-        if patience.cancelled_caught:
+        if answer_scope.cancelled_caught:
             self._record.clients_left[self._request_id] = trio.current_time()
             await leave()
             return
         if answer in ("EOF", "RESET"):
             self._record.violations.append(f"{self._request_id}: {answer} for an answer")
-        if trio.current_time() > sent_at + patience_ms / 1000.0 + SLACK_S:
+        if trio.current_time() > sent_at + deadline_ms / 1000.0 + SLACK_S:
             self._record.violations.append(f"{self._request_id}: answered late")
         await self._send_lines(peer, answer)
         await leave()
 
     async def _send_request(self, peer: LinePeer, request_line: str) -> None:
-        # Broken: the balancer has answered and closed before the request line was whole.
+        # Raised where the balancer answered and closed before the request line was complete.
         with suppress(trio.BrokenResourceError):
             cut = self._rng.choice([0, 0, 0, 9])
             if cut:
@@ -214,7 +214,7 @@
 
 
 async def change_endpoints_and_migrate(rng: Random, server: BalancerServer) -> None:
-    """Send the engine endpoint list updates of any kind, and migrate all connections now and then."""
+    """Send the engine random endpoint list updates, and migrate all connections at random times."""
     engine = server.engine
     for _ in range(8):
         await trio.sleep(rng.uniform(0, 1.5))
@@ -233,7 +233,7 @@
 
 
 async def start_random_servers(rng: Random, record: Record, world: scenario.World) -> bytes:
-    """Start the servers; return the endpoint list that names them."""
+    """Start the servers and return an endpoint list of them."""
 
     async def serve(stream: trio.SocketStream) -> None:
         await RandomServerConnection(rng, record, stream).serve()
@@ -247,8 +247,10 @@
     return f'{{"generation":1,"reset":true,"instances":[{",".join(entries)}]}}'.encode()
 
 
-async def play(rng: Random, record: Record, world: scenario.World, config: Config) -> BalancerServer:
-    """Run a whole balancer with its clients, shut it down at some time, and return it after its end."""
+async def run_until_shutdown(
+    rng: Random, record: Record, world: scenario.World, config: Config
+) -> BalancerServer:
+    """Run a balancer with its clients, shut it down at a random time, and return it once it has exited."""
     process_scope = trio.CancelScope()
     exited = trio.Event()
 
@@ -271,7 +273,7 @@
     return server
 
 
-def assert_nothing_kept(server: BalancerServer) -> None:
+def assert_no_state_left(server: BalancerServer) -> None:
     state = server.engine._balancer.state
     assert server.engine.idle
     requests = state.requests
@@ -280,7 +282,7 @@
 
 
 @pytest.mark.parametrize("seed", [3, 21, 48, 187, 191, 341])
-def test_no_rule_breaks_whatever_crosses(seed: int) -> None:
+def test_rules_hold_with_random_clients_and_servers(seed: int) -> None:
     rng = Random(seed)
     record = Record()
 
@@ -299,7 +301,7 @@
             connect_timeout=rng.choice([60.0, 1000.0]),
             longest=3000.0,
         )
-        assert_nothing_kept(await play(rng, record, world, config))
+        assert_no_state_left(await run_until_shutdown(rng, record, world, config))
 
     idempotency = rng.choice(list(Idempotency))
     request_class = RequestClass(
--- a/tests/test_rare.py
+++ b/tests/test_rare.py
@@ -1,4 +1,4 @@
-"""Rare moments: two events that cross, on real sockets, with scripts that force the bad order every time.
+"""Races between two events on real sockets, with scripts that force the unfavourable order in every run.
 
 Each row of the table in docs/crossings.md names its test here.
 """
@@ -37,12 +37,12 @@
 IDEMPOTENT_WITH_KEY = (
     RequestClass(latency_objective_ms=500.0, idempotency=Idempotency.WITH_KEY, deduplication_window_ms=300.0),
 )
-# The longest deadline of settings that has it under 3 s.
+# A longest deadline under 3 s; a longer one than 3 s does not delay SIGKILL further.
 SHORT_DEADLINE_MS = 1100.0
 OPEN_WITH_SHORT_DEADLINE = OPEN.replace("d=2000", "d=1100")
 OTHER_OPEN_WITH_SHORT_DEADLINE = OTHER_OPEN.replace("d=2000", "d=1100")
 ESTABLISHED_WITH_SHORT_DEADLINE = ESTABLISHED.replace("d=2000", "d=1100")
-# Its deadline comes after the last answer of a shutdown.
+# Its deadline ends after a shutdown has given its last answer.
 OPEN_WITH_LATE_DEADLINE = OPEN.replace("d=2000", "d=3000")
 
 
@@ -63,7 +63,7 @@
 
 
 def build_server(longest_deadline_ms: float = 3000.0) -> Callable[[scenario.World], Awaitable[None]]:
-    """Return a builder of a whole balancer before two servers; `terminate` starts its graceful shutdown."""
+    """Return a builder of a whole balancer with two servers; `terminate` starts its graceful shutdown."""
 
     async def build(world: scenario.World) -> None:
         known_endpoints = await start_servers(world)
@@ -104,7 +104,7 @@
 def test_a_graceful_shutdown_ends_before_sigkill_whatever_the_longest_deadline(
     longest_deadline_ms: float,
 ) -> None:
-    """SIGKILL comes 0.7 s after the longest deadline, which counts as 3 s where it is longer."""
+    """SIGKILL comes 0.7 s after the longest deadline, of which at most 3 s count."""
     schedule = ShutdownSchedule.of(longest_deadline_ms)
     sigkill_after_s = min(longest_deadline_ms / 1000.0, 3.0) + 0.7
     migrate_until = schedule.migrate_from + schedule.migrate_for
@@ -116,18 +116,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownCase:
-    """A script that a graceful shutdown is part of."""
+    """A script that includes a graceful shutdown."""
 
-    # From this follows when SIGKILL comes.
+    # Determines when SIGKILL comes.
     longest_deadline_ms: float
 
     script: str
 
-    # Changes of the settings.
+    # The settings to change.
     settings: dict[str, object] = field(default_factory=dict)
 
 
-SHUTDOWNS = {
+SHUTDOWN_CASES = {
     "settings with short deadlines: what is established is migrated in time": ShutdownCase(
         longest_deadline_ms=SHORT_DEADLINE_MS,
         script=ESTABLISHED_WITH_SHORT_DEADLINE
@@ -247,26 +247,26 @@
 }
 
 
-@pytest.mark.parametrize("case", SHUTDOWNS.values(), ids=SHUTDOWNS.keys())
+@pytest.mark.parametrize("case", SHUTDOWN_CASES.values(), ids=SHUTDOWN_CASES.keys())
 def test_a_graceful_shutdown_answers_every_client(case: ShutdownCase) -> None:
     scenario.run(case.script, build_server(case.longest_deadline_ms), (), **case.settings)
 
 
-# Repeated, as trio picks the task of a tick that runs first at random.
+# Repeated, because trio runs the tasks of one tick in random order.
 @pytest.mark.parametrize("repetition", range(4))
 def test_a_client_that_waits_to_be_accepted_as_the_program_ends_is_answered(
     monkeypatch: pytest.MonkeyPatch, repetition: int
 ) -> None:
-    """It is in the listener's queue as the accepting ends; with the listener it would be reset."""
+    """It is in the listener's queue as the balancer stops accepting; closing the listener would reset it."""
     real_shut_down = ConnectionShutdown.shut_down
     clients: list[socket.socket] = []
 
-    async def cross(world: scenario.World) -> None:
+    async def build(world: scenario.World) -> None:
         await build_server(50.0)(world)
         address = world.server.address  # type: ignore[attr-defined]
 
         async def connect_and_shut_down(self: ConnectionShutdown, exit_at_s: float) -> None:
-            # A blocking socket: no other task runs meanwhile.
+            # A blocking socket, so that no other task runs before the shutdown.
             clients.append(socket.create_connection(address))
             clients[0].sendall(f"{OPEN.replace('2000', '50')}\r\n".encode())
             await real_shut_down(self, exit_at_s)
@@ -278,12 +278,12 @@
             client.setblocking(False)
             peer = LinePeer(trio.SocketStream(trio.socket.from_stdlib_socket(client)))
             assert (await peer.receive()).startswith("BUSY") and await peer.receive() == "EOF"
-        assert not world.taken
+        assert not world.server_connections
 
-    scenario.run("", cross)
+    scenario.run("", build)
 
 
-CLOSES = {
+CLOSE_RACES = {
     "its request crosses the end of its time: rejected, not reset, not sent on": f"""
         c part OP
         within 2100 c expect BUSY
@@ -342,12 +342,12 @@
 }
 
 
-@pytest.mark.parametrize("script", CLOSES.values(), ids=CLOSES.keys())
+@pytest.mark.parametrize("script", CLOSE_RACES.values(), ids=CLOSE_RACES.keys())
 def test_a_close_that_crosses_input_loses_nothing(script: str) -> None:
     scenario.run(script, build_frontend)
 
 
-MIGRATIONS = {
+MIGRATION_RACES = {
     "a client that goes on sending reads its MOVE and the end, not a reset": ESTABLISHED
     + """
         migrate_crossing 1
@@ -414,9 +414,9 @@
 }
 
 
-@pytest.mark.parametrize("script", MIGRATIONS.values(), ids=MIGRATIONS.keys())
+@pytest.mark.parametrize("script", MIGRATION_RACES.values(), ids=MIGRATION_RACES.keys())
 def test_a_migration_that_crosses_an_end_sends_one_move_at_most(script: str) -> None:
-    """The policy's command comes in the tick in which a part of the relay wakes."""
+    """The policy's command is carried out in the tick in which a task of the relay wakes."""
 
     async def build(world: scenario.World) -> None:
         await build_frontend(world)
@@ -438,7 +438,7 @@
 
 
 class DelayedConnects:
-    """Makes connecting to servers take `delays_s`, one after another; nothing once they are used up."""
+    """Delays connections to servers: each uses the next of `delays_s`, and later ones have no delay."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, *delays_s: float) -> None:
         self.count = 0
@@ -471,7 +471,7 @@
 
 @pytest.mark.parametrize("departure", ["close", "reset"])
 def test_a_request_whose_client_left_while_it_waited_for_capacity_is_not_sent(departure: str) -> None:
-    """Both servers have answered the request before it with BUSY; they count as free again 1 s later."""
+    """Both servers answer an earlier request with BUSY; they count as at capacity for 1 s after that."""
     script = f"""
         c send {OTHER_OPEN}
         s1 expect OPEN aa*
@@ -491,7 +491,7 @@
 
 
 def test_a_request_whose_client_left_while_load_reports_were_polled_is_not_sent() -> None:
-    """Nobody answers; after 60 ms the request would be placed without."""
+    """No server answers the poll; after 60 ms the request would be placed without load reports."""
     script = f"""
         c send {OPEN}
         wait 20
@@ -528,7 +528,7 @@
 def test_a_retry_that_connects_after_its_deduplication_window_is_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Rule 2: repeats of this class are dropped for 300 ms; the second connection is up 350 ms after."""
+    """Rule 2: servers deduplicate this class for 300 ms; the second connection takes 350 ms."""
     DelayedConnects(monkeypatch, 0.0, 0.35)
     script = f"""
         c send {OPEN}
@@ -552,7 +552,7 @@
 def test_an_attempt_that_connects_as_the_program_ends_is_cancelled_and_rejected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Though it may not be repeated: nothing was sent, and nothing is sent on afterwards."""
+    """It is rejected although it is not idempotent: nothing was sent, and nothing is sent afterwards."""
     delayed_connects = DelayedConnects(monkeypatch, 9.0)
     script = f"""
         terminate
@@ -569,7 +569,7 @@
 
     scenario.run(script, build, connect_timeout=math.inf, request_classes=NOT_IDEMPOTENT)
     assert delayed_connects.count == 1
-    assert not worlds[0].taken
+    assert not worlds[0].server_connections
 
 
 def test_deadlines_are_kept_though_every_attempt_connects_late(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -581,34 +581,38 @@
     )
 
 
-POLLED = """
+POLLED_ON_FIRST_CONNECTION = """
     poll a
     s1 expect STATS
     s1 send PONG x0=0.5
     reported a=0.5
 """
-POLLED_AGAIN = """
+POLLED_ON_NEW_CONNECTION = """
     within 10 s2 expect STATS
     s2 send PONG x0=0.25
     reported a=0.25
 """
 LOAD_REPORT_POLLS = {
-    "a server that closed the idle connection is polled over a new one": POLLED
+    "a server that closed the idle connection is polled over a new one": POLLED_ON_FIRST_CONNECTION
     + "s1 close\npoll a"
-    + POLLED_AGAIN,
-    "one that closes it as the poll comes": POLLED + "poll a\ns1 expect STATS\ns1 close" + POLLED_AGAIN,
-    "or resets it": POLLED + "poll a\ns1 expect STATS\ns1 reset" + POLLED_AGAIN,
+    + POLLED_ON_NEW_CONNECTION,
+    "one that closes it as the poll comes": POLLED_ON_FIRST_CONNECTION
+    + "poll a\ns1 expect STATS\ns1 close"
+    + POLLED_ON_NEW_CONNECTION,
+    "or resets it": POLLED_ON_FIRST_CONNECTION
+    + "poll a\ns1 expect STATS\ns1 reset"
+    + POLLED_ON_NEW_CONNECTION,
     "a new connection that ends at once is not tried again": """
         poll a
         s1 expect STATS
         s1 close
         wait 500
         poll a"""
-    + POLLED_AGAIN,
-    "a server that moved is polled at its new address": POLLED
+    + POLLED_ON_NEW_CONNECTION,
+    "a server that moved is polled at its new address": POLLED_ON_FIRST_CONNECTION
     + "swap_addresses\npoll a\ns1 expect EOF"
-    + POLLED_AGAIN,
-    "a poll in the tick in which the idle connection would be closed": POLLED
+    + POLLED_ON_NEW_CONNECTION,
+    "a poll in the tick in which the idle connection would be closed": POLLED_ON_FIRST_CONNECTION
     + """
         end_idle_time
         wait 10001
@@ -656,7 +660,7 @@
 
 @pytest.mark.parametrize("patience_ms", [45, 50, 60, 80, 100])
 def test_an_answer_comes_in_time_although_no_load_report_does(patience_ms: int) -> None:
-    """Its deadline comes before the wait for reports is over."""
+    """The deadline may end before the wait for load reports does."""
     script = f"""
         c send {OPEN.replace("2000", str(patience_ms))}
         within {patience_ms} s1 expect OPEN*
