--- a/tests/characterisation/policy_adapter.py
+++ b/tests/characterisation/policy_adapter.py
@@ -1,7 +1,7 @@
 """Translates the neutral records of the policy's characterisation into the program's values and back.
 
-Only this file knows how the program names things. The records themselves (see `policy_world`) are plain
-tuples of words, numbers and ids, so that a renaming in the program leaves scripts and digests as they are.
+Only this file uses names of the program. The records (see `policy_world`) are plain tuples of words, numbers
+and ids, so a renaming in the program does not change the scripts or the digests.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 }
 _SCOPE = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 _LIFECYCLE = {"removed": Lifecycle.REMOVED, "ready": Lifecycle.READY, "draining": Lifecycle.DRAINING}
-_LIST_KIND = {
+_UPDATE_KIND = {
     "incremental": UpdateKind.INCREMENTAL,
     "snapshot": UpdateKind.SNAPSHOT,
     "cached": UpdateKind.CACHED,
@@ -77,25 +77,25 @@
         self._balancer = Balancer(_settings(settings), seed)
 
     def handle(self, event: Record, now: float) -> list[Record]:
-        """Hand in one event record at `now` (ms); return the records of the actions, in order."""
+        """Pass in one event record at `now` (ms); return the records of the actions, in order."""
         return [_action(action) for action in self._balancer.handle(_event(event), now)]
 
     def may_send(self, request: int, server: str, now: float) -> bool:
-        """Whether the attempt's first byte may still go out at `now` (ms)."""
+        """Return whether the first byte of the attempt may still be sent at `now` (ms)."""
         return bool(self._balancer.may_send(request, server, now))
 
 
 def _settings(values: Mapping[str, Any]) -> Settings:
     classes = tuple(
         RequestClass(
-            latency_objective_ms=item["objective"],
-            priority_weight=item.get("weight", 1.0),
-            idempotency=_IDEMPOTENCY[item.get("idempotency", "idempotent")],
-            deduplication_scope=_SCOPE[item.get("scope", "all")],
-            deduplication_window_ms=item.get("window", 0.0),
-            message_latency_objective_ms=item.get("message_objective", 0.0),
+            latency_objective_ms=request_class["objective"],
+            priority_weight=request_class.get("weight", 1.0),
+            idempotency=_IDEMPOTENCY[request_class.get("idempotency", "idempotent")],
+            deduplication_scope=_SCOPE[request_class.get("scope", "all")],
+            deduplication_window_ms=request_class.get("window", 0.0),
+            message_latency_objective_ms=request_class.get("message_objective", 0.0),
         )
-        for item in values["classes"]
+        for request_class in values["classes"]
     )
     return Settings(
         request_classes=classes,
@@ -126,17 +126,17 @@
 
 
 def _event(record: Record) -> Event:
-    word, *fields = record
-    event: Event = _EVENTS[word](*fields)
+    kind, *fields = record
+    event: Event = _EVENTS[kind](*fields)
     return event
 
 
-def _list(kind: str, lines: Sequence[Record]) -> Event:
-    return EndpointListUpdate(_LIST_KIND[kind], tuple(_line(*line) for line in lines))
+def _endpoint_list_update(kind: str, records: Sequence[Record]) -> Event:
+    return EndpointListUpdate(_UPDATE_KIND[kind], tuple(_endpoint(*record) for record in records))
 
 
-def _line(
-    server: str, zone: int, machine: int, cell: int, lifecycle: str, weight: float, started: float
+def _endpoint(
+    server: str, zone: int, machine: int, cell: int, lifecycle: str, weight: float, start_time: float
 ) -> Endpoint:
     return Endpoint(
         id=server,
@@ -145,7 +145,7 @@
         cell=cell,
         lifecycle=_LIFECYCLE[lifecycle],
         capacity_weight=weight,
-        started_at=started,
+        started_at=start_time,
     )
 
 
@@ -180,8 +180,8 @@
     return ConnectionAdopted(adopted, server)
 
 
-def _established(request: int, attempt: int, server: str, elapsed: float) -> Event:
-    return AttemptEstablished(request_id=request, attempt=attempt, endpoint_id=server, elapsed_ms=elapsed)
+def _established(request: int, attempt: int, server: str, duration_ms: float) -> Event:
+    return AttemptEstablished(request_id=request, attempt=attempt, endpoint_id=server, elapsed_ms=duration_ms)
 
 
 def _signal(request: int, attempt: int, server: str, kind: str, value: float) -> Event:
@@ -190,25 +190,27 @@
     )
 
 
-def _ended(request: int, attempt: int, server: str, status: str, elapsed: float, closed: bool) -> Event:
+def _ended(
+    request: int, attempt: int, server: str, status: str, duration_ms: float, is_closed: bool
+) -> Event:
     return AttemptEnded(
         request_id=request,
         attempt=attempt,
         endpoint_id=server,
         status=_STATUS[status],
-        elapsed_ms=elapsed,
-        request_closed=closed,
+        elapsed_ms=duration_ms,
+        request_closed=is_closed,
     )
 
 
-def _report(server: str, status: str, elapsed: float, values: tuple[float, ...]) -> Event:
+def _load_report(server: str, status: str, duration_ms: float, values: tuple[float, ...]) -> Event:
     return LoadReportReceived(
-        endpoint_id=server, status=_STATUS[status], elapsed_ms=elapsed, load_report=values
+        endpoint_id=server, status=_STATUS[status], elapsed_ms=duration_ms, load_report=values
     )
 
 
 _EVENTS: dict[str, Any] = {
-    "list": _list,
+    "list": _endpoint_list_update,
     "request": _request,
     "adopted": _adopted,
     "established": _established,
@@ -217,7 +219,7 @@
     "client_left": ClientDisconnected,
     "shutdown": ShutdownStarted,
     "timer": TimerFired,
-    "report": _report,
+    "report": _load_report,
 }
 
 
--- a/tests/characterisation/test_policy.py
+++ b/tests/characterisation/test_policy.py
@@ -1,4 +1,4 @@
-"""The policy answers the same events with the same actions as the program that recorded the digests."""
+"""The policy responds to the same events with the same actions as when the digests were recorded."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.characterisation.policy_digests import play
+from tests.characterisation.policy_digests import run_script
 from tests.characterisation.policy_scripts import SCRIPTS
 from tests.characterisation.policy_world import Script
 
@@ -16,8 +16,8 @@
 
 @pytest.mark.parametrize("script", SCRIPTS, ids=lambda script: script.name)
 def test_decisions_are_those_recorded(script: Script) -> None:
-    assert play(script).digest == DIGESTS[script.name]
+    assert run_script(script).digest == DIGESTS[script.name]
 
 
-def test_each_recorded_script_is_played() -> None:
+def test_every_recorded_script_is_run() -> None:
     assert {script.name for script in SCRIPTS} == DIGESTS.keys()
