--- a/tests/characterisation/policy_plants.py
+++ b/tests/characterisation/policy_plants.py
@@ -1,8 +1,8 @@
-"""The planted changes of rules by which `policy_check` tests the characterisation, as old and new text."""
+"""Planted changes of rules, as old and new source text; `policy_check` tests that the scripts detect them."""
 
 from __future__ import annotations
 
-NOT_TUNED = ("MIN_EXPECTED_REQUESTS",)  # avoids a division by zero
+UNCHECKED_CONSTANTS = ("MIN_EXPECTED_REQUESTS",)  # only avoids a division by zero
 
 PLANTS = {
     "greater of two draws": (
--- a/tests/characterisation/record.py
+++ b/tests/characterisation/record.py
@@ -1,4 +1,4 @@
-"""Prints the digests of a part as JSON: `python -m tests.characterisation.record PART`."""
+"""Prints the digests of the scripts of a part as JSON: `python -m tests.characterisation.record PART`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def main() -> None:
-    """Plays every script of the part that the command line names."""
+    """Run every script of the part that the command line names, and print the digests."""
     if len(sys.argv) != 2:
         sys.exit("usage: python -m tests.characterisation.record PART")
     logging.disable()
--- a/tests/characterisation/recording.py
+++ b/tests/characterisation/recording.py
@@ -1,4 +1,4 @@
-"""What the digests are made of and compared with."""
+"""Computes the digests of recorded runs, and reads the committed ones."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 Record = tuple[object, ...]
 Script = Callable[[], Iterable[Record]]
-DIGESTS = Path(__file__).parent / "digests"
+DIGESTS_DIRECTORY = Path(__file__).parent / "digests"
 
 
 def digest(records: Iterable[Record]) -> str:
-    """The sha256 of the records' exact forms, a line each; floats keep every digit."""
-    lines = hashlib.sha256()
+    """Return the sha256 of the `repr` of each record, one a line; floats keep every digit."""
+    sha256 = hashlib.sha256()
     for record in records:
-        lines.update(repr(record).encode() + b"\n")
-    return lines.hexdigest()
+        sha256.update(repr(record).encode() + b"\n")
+    return sha256.hexdigest()
 
 
 def committed(part: str) -> dict[str, str]:
-    """The digest of each script of a part, as it was when the part was characterised."""
-    digests: dict[str, str] = json.loads((DIGESTS / f"{part}.json").read_text())
+    """Return the committed digest of each script of a part."""
+    digests: dict[str, str] = json.loads((DIGESTS_DIRECTORY / f"{part}.json").read_text())
     return digests
