--- a/tests/characterisation/client_core_adapter.py
+++ b/tests/characterisation/client_core_adapter.py
@@ -1,4 +1,8 @@
-"""Every name of the program that the characterisation of the client's core uses, and the neutral words."""
+"""Adapts the client's core to its characterisation: only this file uses names of the program.
+
+The characterisation knows states, limits, commands and errors by neutral words, so a renaming in the program
+does not change its digests.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +24,7 @@
 from walkloom.client.settings import ClassPolicy, Limits
 from walkloom.client.wire import MAX_LINE_BYTES
 
-LONGEST_LINE = MAX_LINE_BYTES
+LINE_LIMIT_BYTES = MAX_LINE_BYTES
 STATES = {
     SessionState.QUEUED: "waiting",
     SessionState.CONNECTING: "asking",
@@ -28,7 +32,7 @@
     SessionState.BACKING_OFF: "away",
     SessionState.CLOSED: "over",
 }
-BOUNDS = {
+LIMIT_FIELDS = {
     "sessions": "sessions",
     "asking": "setups",
     "unanswered": "lines_out",
@@ -45,7 +49,7 @@
     "window": "return_window_ms",
     "patience": "return_for_ms",
 }
-COUNTERS = (
+COUNTER_FIELDS = (
     "requests",
     "established",
     "rejected",
@@ -67,13 +71,17 @@
 )
 
 
-def request_class(name: str, aim: float, patience: float, most: int, worth: float) -> ClassPolicy:
-    """One class of requests."""
-    return ClassPolicy(name, aim_ms=aim, give_up_ms=patience, tries=most, worth=worth)
+def request_class(
+    name: str, latency_objective_ms: float, timeout_ms: float, max_attempts: int, priority_weight: float
+) -> ClassPolicy:
+    """Return the settings of one request class."""
+    return ClassPolicy(
+        name, aim_ms=latency_objective_ms, give_up_ms=timeout_ms, tries=max_attempts, worth=priority_weight
+    )
 
 
 def error_record(error: ClientError) -> tuple[object, ...]:
-    """An error without its text."""
+    """Return the neutral record of an error, without its message."""
     match error:
         case Rejected():
             return ("refused", error.retry_after)
@@ -90,26 +98,31 @@
     raise AssertionError(f"no neutral word for {error!r}")
 
 
-class Client:
-    """The core under test; sessions and connections are told by their numbers."""
+class CoreAdapter:
+    """The core under test; sessions and connections are identified by their numbers."""
 
     def __init__(
         self,
         balancers: Sequence[tuple[str, int]],
         classes: Sequence[ClassPolicy],
-        bounds: dict[str, Any],
+        limits: dict[str, Any],
         seed: int,
     ) -> None:
-        limits = Limits(**{BOUNDS[word]: value for word, value in bounds.items()})
-        self._core = ClientCore(balancers, classes, limits, seed)
+        core_limits = Limits(**{LIMIT_FIELDS[word]: value for word, value in limits.items()})
+        self._core = ClientCore(balancers, classes, core_limits, seed)
         self._sessions: dict[int, Session] = {}
 
-    def open(self, now: float, cls: str, returns: bool, about: tuple[str, int, int, float | None]) -> Any:
-        """The number of a new session, or the record of what was raised."""
-        tenant, group, key, load = about
+    def open(
+        self, now: float, class_name: str, reconnects: bool, attributes: tuple[str, int, int, float | None]
+    ) -> Any:
+        """Open a session; return its number, or the record of the error that was raised.
+
+        `attributes` are its tenant, group, key and load.
+        """
+        tenant, group, key, load = attributes
         try:
             session = self._core.open(
-                now, cls, tenant=tenant, group=group, key=key, load=load, returns=returns
+                now, class_name, tenant=tenant, group=group, key=key, load=load, returns=reconnects
             )
         except ClientError as error:
             return error_record(error)
@@ -119,7 +132,7 @@
         return session.session_id
 
     def poll(self, now: float) -> list[tuple[Any, ...]]:
-        """The commands that are due: a word, the session, and the fields of that command."""
+        """Return the due commands, each as a neutral word, the session number and its fields."""
         return [self._command(command) for command in self._core.poll(now)]
 
     def _command(self, command: Command) -> tuple[Any, ...]:
@@ -129,48 +142,48 @@
                 return ("dial", number, connection, *address)
             case Write(_, connection, data):
                 return ("write", number, connection, data)
-            case Disconnect(_, connection, gently):
-                return ("hang", number, connection, gently)
+            case Disconnect(_, connection, is_graceful):
+                return ("hang", number, connection, is_graceful)
             case Notify():
                 return ("wake", number)
 
-    def wake_at(self) -> float:
-        """When the core wants to be polled."""
+    def poll_due_at(self) -> float:
+        """Return when the core wants to be polled next."""
         return self._core.next_wake_at()
 
-    def reached(self, number: int, connection: int, now: float) -> None:
-        """A connection was made."""
+    def connection_made(self, number: int, connection: int, now: float) -> None:
+        """Tell the core that a connection was made."""
         self._core.connection_made(self._sessions[number], connection, now)
 
-    def unreached(self, number: int, connection: int, now: float) -> None:
-        """A connection could not be made."""
+    def connect_failed(self, number: int, connection: int, now: float) -> None:
+        """Tell the core that a connection attempt failed."""
         self._core.connect_failed(self._sessions[number], connection, now, "unreached")
 
-    def heard(self, number: int, connection: int, data: bytes, now: float) -> None:
-        """Bytes came from the other side."""
+    def data_received(self, number: int, connection: int, data: bytes, now: float) -> None:
+        """Pass data from the balancer to the core."""
         self._core.data_received(self._sessions[number], connection, data, now)
 
-    def ended(self, number: int, connection: int, now: float, why: str) -> None:
-        """The other side ended the connection."""
-        self._core.connection_ended(self._sessions[number], connection, now, why)
+    def connection_ended(self, number: int, connection: int, now: float, reason: str) -> None:
+        """Tell the core that the balancer ended the connection."""
+        self._core.connection_ended(self._sessions[number], connection, now, reason)
 
     def close(self, number: int, now: float) -> None:
-        """The caller ends the session."""
+        """Close the session on behalf of its caller."""
         self._core.close(self._sessions[number], now)
 
     def send(self, number: int, line: str, now: float) -> bool:
-        """Sends a line where it may go now."""
+        """Send a line if the session may send now; return whether it did."""
         if not self._core.may_send(self._sessions[number]):
             return False
         self._core.send(self._sessions[number], line, now)
         return True
 
-    def clog(self, number: int, clogged: bool) -> None:
-        """Whether the driver has more unwritten bytes of the session than it may."""
-        self._sessions[number].write_blocked = clogged
+    def set_write_blocked(self, number: int, is_blocked: bool) -> None:
+        """Set whether the driver holds more unwritten bytes of the session than allowed."""
+        self._sessions[number].write_blocked = is_blocked
 
-    def take(self, number: int) -> object:
-        """The next news of a session for its caller; None where there is none."""
+    def take_pending(self, number: int) -> object:
+        """Return the next line, result or error for the caller of a session; None if there is none."""
         session = self._sessions[number]
         if not self._core.has_pending(session):
             return None
@@ -180,42 +193,53 @@
             return error_record(error)
         return ("line", line) if line is not None else ("served",)
 
-    def knows(self, number: int) -> bool:
-        """Whether the session was handed to its caller."""
+    def has_session(self, number: int) -> bool:
+        """Return whether the session was returned to its caller."""
         return number in self._sessions
 
-    def connection(self, number: int) -> int:
-        """The number of the session's newest connection."""
+    def connection_of(self, number: int) -> int:
+        """Return the number of the session's newest connection."""
         return self._sessions[number].connection_id
 
-    def try_ends(self, number: int) -> float:
-        """When the session's newest try is given up."""
+    def attempt_deadline(self, number: int) -> float:
+        """Return when the session's newest attempt times out."""
         return self._sessions[number].attempt_deadline
 
-    def is_over(self, number: int) -> bool:
-        """Whether the session has ended."""
+    def is_closed(self, number: int) -> bool:
+        """Return whether the session is closed."""
         return self._sessions[number].state is SessionState.CLOSED
 
     def state(self, number: int) -> tuple[object, ...]:
-        """What can be seen of a session from outside."""
+        """Return the visible state of a session."""
         session = self._sessions[number]
-        may = (self._core.may_send(session), self._core.wants_data(session), self._core.has_pending(session))
-        asked = (
+        permissions = (
+            self._core.may_send(session),
+            self._core.wants_data(session),
+            self._core.has_pending(session),
+        )
+        request_state = (
             session.attempts,
             session.failed_reconnects,
             session.was_established,
             session.request_deadline,
             session.attempt_deadline,
         )
-        return (STATES[session.state], session.receipt, session.load, len(session.inbox), *asked, *may)
+        return (
+            STATES[session.state],
+            session.receipt,
+            session.load,
+            len(session.inbox),
+            *request_state,
+            *permissions,
+        )
 
     def figures(self) -> list[tuple[object, ...]]:
-        """Counters and the spreads of set-ups and delays."""
+        """Return the counters, and the percentiles of set-up times and line delays."""
         figures = self._core.figures()
-        counters = tuple(getattr(figures.counters, name) for name in COUNTERS)
+        counters = tuple(getattr(figures.counters, name) for name in COUNTER_FIELDS)
         records: list[tuple[object, ...]] = [("counted", *counters, figures.sessions, figures.established)]
         for word, spreads in (("setup", figures.setup_times), ("delay", figures.line_delays)):
-            for cls, spread in spreads.items():
+            for class_name, spread in spreads.items():
                 values = (spread.count, spread.p50, spread.p90, spread.p99, spread.max)
-                records.append((word, cls, *values))
+                records.append((word, class_name, *values))
         return records
--- a/tests/characterisation/recording.py
+++ b/tests/characterisation/recording.py
@@ -14,10 +14,10 @@
 
 def digest(records: Iterable[Record]) -> str:
     """Return the sha256 of the `repr` of each record, one a line; floats keep every digit."""
-    sha256 = hashlib.sha256()
+    hasher = hashlib.sha256()
     for record in records:
-        sha256.update(repr(record).encode() + b"\n")
-    return sha256.hexdigest()
+        hasher.update(repr(record).encode() + b"\n")
+    return hasher.hexdigest()
 
 
 def committed(part: str) -> dict[str, str]:
