--- a/tests/characterisation/client_core_adapter.py
+++ b/tests/characterisation/client_core_adapter.py
@@ -1,6 +1,6 @@
 """Adapts the client's core to its characterisation: only this file uses names of the program.
 
-The characterisation knows states, limits, commands and errors by neutral words, so a renaming in the program
+The characterisation uses neutral words for states, limits, commands and errors, so a renaming in the program
 does not change its digests.
 """
 
@@ -152,11 +152,11 @@
         return self._core.next_wake_at()
 
     def connection_made(self, number: int, connection: int, now: float) -> None:
-        """Tell the core that a connection was made."""
+        """Notify the core that a connection was made."""
         self._core.connection_made(self._sessions[number], connection, now)
 
     def connect_failed(self, number: int, connection: int, now: float) -> None:
-        """Tell the core that a connection attempt failed."""
+        """Notify the core that a connection attempt failed."""
         self._core.connect_failed(self._sessions[number], connection, now, "unreached")
 
     def data_received(self, number: int, connection: int, data: bytes, now: float) -> None:
@@ -164,7 +164,7 @@
         self._core.data_received(self._sessions[number], connection, data, now)
 
     def connection_ended(self, number: int, connection: int, now: float, reason: str) -> None:
-        """Tell the core that the balancer ended the connection."""
+        """Notify the core that the balancer ended the connection."""
         self._core.connection_ended(self._sessions[number], connection, now, reason)
 
     def close(self, number: int, now: float) -> None:
--- a/tests/characterisation/policy_check.py
+++ b/tests/characterisation/policy_check.py
@@ -90,7 +90,7 @@
 
 
 def planted_changes() -> Iterator[Change]:
-    """Yield the planted changes. Raises ValueError unless each old text stands once, in one file."""
+    """Yield the planted changes. Raises ValueError unless each old text is found once, in one file."""
     files = [*policy_files(), *sorted((ROOT / "walkloom" / "state").glob("*.py"))]
     for name, (old, new) in PLANTS.items():
         matching_files = [file for file in files if file.read_text().count(old) == 1]
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -98,7 +98,7 @@
             self.clients[name] = await self.dial(name)
         return self.clients[name]  # type: ignore[no-any-return]
 
-    async def play(self, script: str) -> None:
+    async def run_script(self, script: str) -> None:
         """Run a script. Raises AssertionError with the step that failed."""
         for step in filter(None, map(str.strip, script.splitlines())):
             try:
@@ -183,7 +183,7 @@
             world = World(nursery, **changes)
             await build(world)
             world.list_servers_as("up")
-            await world.play(script)
+            await world.run_script(script)
             nursery.cancel_scope.cancel()
 
     # Loopback delivers at once, so a program that is idle for 10 ms waits only for the clock.
