--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -18,7 +18,7 @@
 from walkloom.lab.settings import balancer_configuration
 from walkloom.lab.soak import schedule as schedules
 from walkloom.lab.soak.client import run_client
-from walkloom.lab.soak.deployment import SOCKETS, Deployment
+from walkloom.lab.soak.deployment import DESCRIPTOR_LIMIT, Deployment
 from walkloom.lab.soak.discovery import FaultyDiscovery
 from walkloom.lab.soak.history import History, Lifecycle
 from walkloom.lab.soak.hosts import LoopbackHost
@@ -62,7 +62,7 @@
         process_count=1,
         server_count=server_count,
         is_pushed=False,
-        ask_within_ms=10_000.0,
+        max_poll_interval_ms=10_000.0,
         drain_grace_ms=500.0,
         longest_deadline_ms=3000,
         load_reports=True,
@@ -76,7 +76,7 @@
             server = RecordingServer("s-0", host, history, nursery)
             server.start()
             for number in range(server_count):
-                discovery.put(f"s-{number}", server.address, "here")
+                discovery.add_server(f"s-{number}", server.address, "here")
             process = _start(deployment, discovery, host, history, Path(folder))
             try:
                 await process.wait_until_ready()
@@ -91,9 +91,9 @@
     deployment: Deployment, discovery: FaultyDiscovery, host: LoopbackHost, history: History, folder: Path
 ) -> SoakProcess:
     address = f"{host.address}:{host.next_port()}"
-    discovery_host, _, port = discovery.open_gate("n0").rpartition(":")
+    discovery_host, _, port = discovery.listen_for("n0").rpartition(":")
     configuration = balancer_configuration(
-        "n0", address, (discovery_host, int(port)), [], deployment.settings("here"), SOCKETS
+        "n0", address, (discovery_host, int(port)), [], deployment.settings("here"), DESCRIPTOR_LIMIT
     )
     configuration["known"] = discovery.snapshot()
     process = SoakProcess("n0", address, folder, configuration, history)
@@ -129,7 +129,7 @@
         nursery.start_soon(sample_descriptors)
         started_at = trio.current_time()
         for client in schedules.draw_clients(1, deployment, DURATION_S):
-            await trio.sleep_until(started_at + client.at)
+            await trio.sleep_until(started_at + client.offset_s)
             nursery.start_soon(run_client, replace(client, balancer="n0"), process.address, history)
         cost = Cost(
             cpu_s=_cpu_s(process),
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded soak of real balancer processes: no rule broken on any seed."""
+"""A short seeded soak test of real balancer processes: no rule is broken on any seed."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from walkloom.lab.soak.campaign import run_seeds
 from walkloom.lab.soak.runner import RunPlan
 
-# Two with a crowd (multiples of four), asked and pushed lists, fleets of 1 to 230 in the settings.
+# Two seeds with a crowd (multiples of four), polled and pushed lists, 1 to 230 balancers in the settings.
 SEEDS = (1, 2, 4, 6, 7, 8, 9, 13)
 CONCURRENT_RUNS = 4
 
 
 def test_no_rule_is_broken_under_seeded_faults() -> None:
     lines: list[str] = []
-    violation_count = run_seeds(SEEDS, parallel=CONCURRENT_RUNS, small=True, tell=lines.append)
+    violation_count = run_seeds(SEEDS, parallel=CONCURRENT_RUNS, small=True, write_line=lines.append)
     assert violation_count == 0, "\n".join(lines)
 
 
 @pytest.mark.parametrize("seed", [1, 4, 7])
 def test_the_same_seed_gives_the_same_run(seed: int) -> None:
-    assert RunPlan.of_seed(seed) == RunPlan.of_seed(seed)
-    assert RunPlan.of_seed(seed) != RunPlan.of_seed(seed + 1)
+    assert RunPlan.from_seed(seed) == RunPlan.from_seed(seed)
+    assert RunPlan.from_seed(seed) != RunPlan.from_seed(seed + 1)
 
 
-def test_the_seeds_of_ci_cover_what_runs_differ_by() -> None:
+def test_the_seeds_of_ci_cover_the_kinds_of_runs() -> None:
     drawn = [deployment.draw(seed) for seed in SEEDS]
     assert {each.is_pushed for each in drawn} == {each.has_crowd for each in drawn} == {True, False}
     assert min(each.balancer_count for each in drawn) == 1
--- a/tests/lab/test_soak_checker.py
+++ b/tests/lab/test_soak_checker.py
@@ -1,4 +1,4 @@
-"""The soak's checker on histories written by hand: each rule is seen where it is broken, and only there."""
+"""The soak test's checker on handwritten histories: it reports a rule where it is broken, and only there."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from walkloom.lab.soak.checker import check
-from walkloom.lab.soak.client import ClientConduct, ClientPlan
+from walkloom.lab.soak.client import ClientBehaviour, ClientPlan
 from walkloom.lab.soak.deployment import Deployment
 from walkloom.lab.soak.history import (
     AttemptBegan,
@@ -39,7 +39,7 @@
     WatchSilenced,
 )
 
-# The request that every history is about: sent at 10.0 with a deadline of 1 s.
+# The request of every history: sent at 10.0 with a deadline of 1 s.
 SENT_AT = 10.0
 PLAN = ClientPlan(SENT_AT, "n0", "r", "view", 1000, group=1, lifetime_s=5.0)
 DEPLOYMENT = Deployment(
@@ -47,7 +47,7 @@
     process_count=1,
     server_count=2,
     is_pushed=False,
-    ask_within_ms=10_000.0,
+    max_poll_interval_ms=10_000.0,
     drain_grace_ms=500.0,
     longest_deadline_ms=1500,
     load_reports=False,
@@ -65,7 +65,7 @@
 
 
 def attempt(at: float, server: str = "a", number: int = 1, end: float | None = None) -> list[Record]:
-    """An attempt that begins at a time, and is established 10 ms later or ends at `end`."""
+    """Return the records of an attempt from `at` on that is established 10 ms later, or fails at `end`."""
     outcome = AttemptEnd.ESTABLISHED if end is None else AttemptEnd.ERROR
     return [
         AttemptBegan(at, server, number),
@@ -122,14 +122,14 @@
 
 
 @pytest.mark.parametrize(("records", "rules"), DRAINS.values(), ids=DRAINS.keys())
-def test_new_work_at_a_draining_server_is_judged_by_when_its_drain_counts(
+def test_new_work_on_a_draining_server_is_judged_by_when_its_drain_counts_as_notified(
     records: list[Record], rules: list[str]
 ) -> None:
     assert broken_rules(*records, *SOUND) == rules
 
 
-def test_a_balancer_that_does_not_ask_counts_as_notified_after_the_settings_time() -> None:
-    short = replace(DEPLOYMENT, ask_within_ms=2000.0)
+def test_a_balancer_that_does_not_poll_counts_as_notified_after_the_poll_interval() -> None:
+    short = replace(DEPLOYMENT, max_poll_interval_ms=2000.0)
     calls = (CallReceived(6.0, "n0"), ListWritten(6.0, "n0", 2))
     assert broken_rules(*calls, drained(7.0), *SOUND, deployment=short) == ["drain"]
     assert broken_rules(*calls, drained(7.6), *SOUND, deployment=short) == []
@@ -137,7 +137,7 @@
     assert broken_rules(*failed, drained(7.0), *SOUND, deployment=short) == []
 
 
-def test_what_the_agent_of_a_pushed_list_has_counts_at_once() -> None:
+def test_a_change_that_the_agent_of_a_pushed_list_has_counts_as_notified_at_once() -> None:
     pushed = replace(DEPLOYMENT, is_pushed=True)
     assert broken_rules(drained(9.5), *SOUND, deployment=pushed) == []
     assert broken_rules(drained(9.4), *SOUND, deployment=pushed) == ["drain"]
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize(("records", "rules"), ANSWERS.values(), ids=ANSWERS.keys())
-def test_each_request_is_owed_an_answer_in_time(records: list[Record], rules: list[str]) -> None:
+def test_each_request_must_be_answered_in_time(records: list[Record], rules: list[str]) -> None:
     assert broken_rules(*records) == rules
 
 
@@ -210,13 +210,13 @@
 
 
 @pytest.mark.parametrize(("records", "rules"), ENDS.values(), ids=ENDS.keys())
-def test_an_established_connection_ends_as_the_rules_say(records: list[Record], rules: list[str]) -> None:
+def test_an_established_connection_ends_as_the_rules_require(records: list[Record], rules: list[str]) -> None:
     assert broken_rules(*SOUND, *records) == rules
 
 
-def test_a_client_that_stops_midway_is_ended_in_time() -> None:
+def test_a_client_that_stops_midway_is_closed_in_time() -> None:
     plan = ClientPlan(
-        SENT_AT, "n0", "r", "view", 1000, group=1, lifetime_s=5.0, conduct=ClientConduct.STOPS_MIDWAY
+        SENT_AT, "n0", "r", "view", 1000, group=1, lifetime_s=5.0, behaviour=ClientBehaviour.STOPS_MIDWAY
     )
     other = RequestSent(0.0, "n0", "r", 1000.0)
     early = ClientConnectionEnded(2.1, "r", "BUSY", False)
@@ -225,7 +225,7 @@
     assert broken_rules(other, late, plan=plan) == ["bad_client"]
 
 
-def test_a_process_that_ends_by_itself_or_is_not_ready_is_seen() -> None:
+def test_a_process_that_crashes_or_is_not_ready_is_reported() -> None:
     assert broken_rules(*SOUND, ProcessExited(20.0, "n0", 1)) == ["crash"]
     assert broken_rules(*SOUND, ProcessExited(20.0, "n0", 0)) == []
     assert broken_rules(*SOUND, ProcessStarted(20.0, "n0", 2)) == ["ready"]
@@ -294,12 +294,12 @@
     assert broken_rules(SENT, *records, answered(10.9, word), deployment=deployment, plan=EDIT) == rules
 
 
-def test_a_connection_without_a_line_back_for_seven_seconds_is_seen() -> None:
+def test_a_connection_without_a_returned_line_for_seven_seconds_is_reported() -> None:
     assert broken_rules(*SOUND, LineUnanswered(18.0, "r", 7.4)) == []
     assert broken_rules(*SOUND, LineUnanswered(18.0, "r", 7.6)) == ["silent"]
 
 
-def test_a_process_that_keeps_descriptors_or_memory_is_seen() -> None:
+def test_a_process_that_leaks_descriptors_or_memory_is_reported() -> None:
     base = ProcessMeasured(0.6, "n0", 10, 30_000)
     assert broken_rules(*SOUND, base, ProcessMeasured(20.0, "n0", 22, 50_000)) == []
     assert broken_rules(*SOUND, base, ProcessMeasured(20.0, "n0", 23, 50_000)) == ["growth"]
--- a/tests/soak_plants/__main__.py
+++ b/tests/soak_plants/__main__.py
@@ -1,6 +1,6 @@
-"""Plays the soak on planted faults until each is found: `python -m tests.soak_plants [--jobs N] [NAME ...]`.
+"""Runs the soak on planted faults until each is found: `python -m tests.soak_plants [--jobs N] [NAME ...]`.
 
-It prints a row for each fault: the seeds that were needed and the rule that broke. Not part of CI.
+Prints a row for each fault: the number of seeds needed and the rules that were broken. Not part of CI.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 
 def main() -> int:
-    """Play all plants that the words name; return how many were not found."""
+    """Run all plants that the arguments select; return how many were not found."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("names", nargs="*", help="parts of the names of plants; none: all")
-    parser.add_argument("--jobs", type=int, default=3, help="plants at a time")
+    parser.add_argument("names", nargs="*", help="parts of the names of plants; default: all")
+    parser.add_argument("--jobs", type=int, default=3, help="plants checked at a time")
     arguments = parser.parse_args()
     chosen = [plant for plant in PLANTS if _is_chosen(plant, arguments.names)]
     print("| planted fault | place | seeds | rule |\n|---|---|---|---|")
@@ -44,20 +44,20 @@
 
 
 def _check(plant: Plant) -> tuple[Plant, str, bool]:
-    """Play seeds until one breaks a rule; return the seeds and the rule as cells."""
+    """Run seeds until one breaks a rule; return the plant, the table cells, and whether it was found."""
     with tempfile.TemporaryDirectory(prefix="plant-") as folder:
         source = Path(folder)
         if not _copy_with_fault(plant, source):
-            return plant, "its text is gone | -", False
+            return plant, "the text to replace is not there exactly once | -", False
         for seed in range(1, MAX_SEEDS + 1):
             if violations := _play(seed, source):
                 rules = sorted({violation.rule for violation in violations})
                 return plant, f"{seed} | {', '.join(rules)}", True
-    return plant, f"not in {MAX_SEEDS} | -", False
+    return plant, f"not found in {MAX_SEEDS} | -", False
 
 
 def _copy_with_fault(plant: Plant, folder: Path) -> bool:
-    """Copy the program and change the one place; False where the program does not have it once."""
+    """Copy the program and plant the fault; return False unless the text to replace occurs exactly once."""
     shutil.copytree(ROOT / "walkloom", folder / "walkloom", ignore=shutil.ignore_patterns("__pycache__"))
     file = folder / "walkloom" / plant.file
     text = file.read_text()
@@ -66,7 +66,7 @@
 
 
 def _play(seed: int, source: Path) -> list[Violation]:
-    result = trio.run(partial(play, RunPlan.of_seed(seed, small=True), source))
+    result = trio.run(partial(play, RunPlan.from_seed(seed, small=True), source))
     return result.violations
 
 
--- a/walkloom/cli/lab.py
+++ b/walkloom/cli/lab.py
@@ -149,7 +149,7 @@
 
     seeds = range(seed, seed + runs)
     folder = Path(report) if report else None
-    violation_count = run_seeds(seeds, parallel=parallel, small=small, folder=folder, tell=click.echo)
+    violation_count = run_seeds(seeds, parallel=parallel, small=small, folder=folder, write_line=click.echo)
     sys.exit(1 if violation_count else 0)
 
 
--- a/walkloom/lab/soak/campaign.py
+++ b/walkloom/lab/soak/campaign.py
@@ -1,4 +1,4 @@
-"""Plays many seeds, each in a process of its own, so that no run delays the stand-ins of another."""
+"""Runs many seeds, each in its own process, so that no run delays the stand-ins of another."""
 
 from __future__ import annotations
 
@@ -19,26 +19,27 @@
     parallel: int,
     small: bool = False,
     folder: Path | None = None,
-    tell: Callable[[str], object] = print,
+    write_line: Callable[[str], object] = print,
 ) -> int:
-    """Play the seeds, tell the verdict of each, and return the number of violations.
+    """Run the seeds, and return the number of violations.
 
-    parallel: how many at a time. small: see RunPlan.of_seed. folder: for timelines; None: none are written.
+    parallel: runs at a time. small: see RunPlan.from_seed. folder: where timelines are written, if anywhere.
+    write_line: gets the summary line of each run and its first violations.
     """
     total = 0
     with ProcessPoolExecutor(parallel) as executor:
         for lines, violation_count in executor.map(partial(_run_seed, small=small, folder=folder), seeds):
             for line in lines:
-                tell(line)
+                write_line(line)
             total += violation_count
     return total
 
 
 def _run_seed(seed: int, *, small: bool, folder: Path | None) -> tuple[list[str], int]:
-    """Play one seed; return its verdict and violations as lines, and their number."""
-    result = trio.run(play, RunPlan.of_seed(seed, small=small))
+    """Run one seed; return its summary and first violations as lines, and the number of all violations."""
+    result = trio.run(play, RunPlan.from_seed(seed, small=small))
     name = f"seed-{seed}"
     if folder:
         report.write_timelines(folder, name, result)
-    shown = [f"  {violation}" for violation in result.violations[: report.MAX_TIMELINES]]
-    return [report.verdict(name, result), *shown], len(result.violations)
+    violation_lines = [f"  {violation}" for violation in result.violations[: report.MAX_TIMELINES]]
+    return [report.summary_line(name, result), *violation_lines], len(result.violations)
--- a/walkloom/lab/soak/checker.py
+++ b/walkloom/lab/soak/checker.py
@@ -1,4 +1,4 @@
-"""Checks the platform's rules on the history of a run; knows nothing of the balancer. No I/O."""
+"""Checks the platform's rules on the history of a run, independently of the balancer's code. No I/O."""
 
 from __future__ import annotations
 
@@ -8,17 +8,19 @@
 from walkloom.lab.soak.client import ClientPlan
 from walkloom.lab.soak.deployment import Deployment
 from walkloom.lab.soak.history import History
-from walkloom.lab.soak.notices import Notices
+from walkloom.lab.soak.notices import NotificationTimes
 from walkloom.lab.soak.request_rules import RequestRules
 from walkloom.lab.soak.run_records import RunRecords
 from walkloom.lab.soak.violation import Violation
 
 
 def check(deployment: Deployment, clients: Sequence[ClientPlan], history: History) -> list[Violation]:
-    """Return all violations of a run, by time."""
+    """Return all violations of a run, ordered by time."""
     run = RunRecords(clients, history)
-    notices = Notices(history, is_pushed=deployment.is_pushed, ask_within_s=deployment.ask_within_ms / 1000.0)
-    rules = RequestRules(run, notices, deployment)
+    notification_times = NotificationTimes(
+        history, is_pushed=deployment.is_pushed, max_poll_interval_s=deployment.max_poll_interval_ms / 1000.0
+    )
+    rules = RequestRules(run, notification_times, deployment)
     violations = [*process_rules.check(run, deployment)]
     for request in run.requests.values():
         violations += rules.check(request)
--- a/walkloom/lab/soak/client.py
+++ b/walkloom/lab/soak/client.py
@@ -1,4 +1,4 @@
-"""Clients of a run: each opens one connection, waits for its answer, and uses it until it ends."""
+"""Clients of a run: each opens one connection, sends a request, and uses the connection until it ends."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 )
 from walkloom.transport.line_stream import LineError, LineStream, first_word
 
-# How much longer than its deadline a client waits, so that a late answer is seen as one.
-PATIENCE_S = 2.0
+# A client waits this long past its deadline, so that a late answer is recorded as late.
+LATE_ANSWER_WAIT_S = 2.0
 LINE_INTERVAL_S = 0.4
 PIECE_INTERVAL_S = 0.02
-# A line that waits longer for its answer is recorded; the platform allows 7 s.
+# A line that stays unanswered for longer is recorded; the platform allows 7 s.
 MAX_UNANSWERED_S = 7.0
-# Lines carry their time with so much precision.
-CLOCK_DIGITS_S = 1e-6
+# Lines carry their time of sending with six decimals.
+SENT_AT_PRECISION_S = 1e-6
 CONNECT_TIMEOUT_S = 1.0
 
 
-class ClientConduct(Enum):
-    """How a client behaves."""
+class ClientBehaviour(Enum):
+    """What a client does after it connects."""
 
     ORDINARY = "ordinary"
-    # Leaves a little after its request, without waiting for the answer.
+    # Disconnects shortly after its request, without waiting for the answer.
     LEAVES_EARLY = "leaves_early"
     # Writes its request line in pieces.
     WRITES_SLOWLY = "writes_slowly"
-    # Sends half a line and stays.
+    # Sends half a request line and keeps the connection open.
     STOPS_MIDWAY = "stops_midway"
-    # Sends a second command right behind its request.
+    # Sends a second command directly after its request.
     PIPELINES = "pipelines"
     # Connects and sends nothing.
     IDLE = "idle"
@@ -48,9 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientPlan:
-    """One client, as drawn."""
+    """One client, as drawn from the seed."""
 
-    at: float
+    # Seconds from the start of the run.
+    offset_s: float
     balancer: str
     request: str
     request_class: str
@@ -58,16 +59,16 @@
     group: int
     lifetime_s: float
     leave_after_s: float = 0.05
-    conduct: ClientConduct = ClientConduct.ORDINARY
+    behaviour: ClientBehaviour = ClientBehaviour.ORDINARY
 
     def request_line(self) -> bytes:
-        """Return the first line."""
+        """Return the request line, with its line end."""
         fields = f"c={self.request_class},d={self.deadline_ms},g={self.group:x}"
         return f"OPEN {self.request} {self.group:x} {fields}\r\n".encode()
 
 
 async def run_client(plan: ClientPlan, address: str, history: History) -> None:
-    """Play one client; a balancer that accepts no connection has not taken its request."""
+    """Run one client; where the balancer accepts no connection, no request is recorded."""
     host, _, port = address.rpartition(":")
     stream = None
     with trio.move_on_after(CONNECT_TIMEOUT_S):
@@ -82,7 +83,7 @@
 
 
 class _Client:
-    """One connected client."""
+    """A client with an open connection."""
 
     def __init__(self, plan: ClientPlan, lines: LineStream, history: History) -> None:
         self._plan = plan
@@ -91,7 +92,7 @@
         self._last_line = ""
         self._has_left = False
         self._was_reset = False
-        # When each line without an answer was sent, oldest first.
+        # Times at which the lines without an answer were sent, oldest first.
         self._unanswered = deque[float]()
 
     async def run(self) -> None:
@@ -110,21 +111,21 @@
             )
 
     async def _send_request(self) -> bool:
-        """Send the request line; False where this client sends none."""
+        """Send the request line; return False where this client never sends a whole one."""
         line = self._plan.request_line()
-        match self._plan.conduct:
-            case ClientConduct.IDLE:
+        match self._plan.behaviour:
+            case ClientBehaviour.IDLE:
                 await self._read_until_end()
                 return False
-            case ClientConduct.STOPS_MIDWAY:
+            case ClientBehaviour.STOPS_MIDWAY:
                 await self._lines.send(line[: len(line) // 2])
                 await self._read_until_end()
                 return False
-            case ClientConduct.WRITES_SLOWLY:
+            case ClientBehaviour.WRITES_SLOWLY:
                 for start in range(0, len(line), 16):
                     await self._lines.send(line[start : start + 16])
                     await trio.sleep(PIECE_INTERVAL_S)
-            case ClientConduct.PIPELINES:
+            case ClientBehaviour.PIPELINES:
                 await self._lines.send(line + b"PING\r\n")
             case _:
                 await self._lines.send(line)
@@ -134,11 +135,11 @@
 
     async def _read_answer(self) -> bool:
         """Return whether the connection is established."""
-        if self._plan.conduct is ClientConduct.LEAVES_EARLY:
+        if self._plan.behaviour is ClientBehaviour.LEAVES_EARLY:
             await trio.sleep(self._plan.leave_after_s)
             self._leave()
             return False
-        with trio.move_on_after(self._plan.deadline_ms / 1000.0 + PATIENCE_S):
+        with trio.move_on_after(self._plan.deadline_ms / 1000.0 + LATE_ANSWER_WAIT_S):
             line = await self._lines.read_line()
             if not line:
                 return False
@@ -157,7 +158,7 @@
             self._last_line = line.decode(errors="replace").strip()
 
     async def _use_connection(self) -> None:
-        """Send lines until the time is over or the balancer ends the connection."""
+        """Send lines until the lifetime is over or the balancer ends the connection."""
         with trio.move_on_after(self._plan.lifetime_s):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._send_lines)
@@ -176,9 +177,9 @@
                 self._unanswered.append(sent_at)
                 await self._lines.send(f"M {sent_at:.6f}\r\n".encode())
                 await trio.sleep(LINE_INTERVAL_S)
-                self._record_silence()
+                self._record_unanswered_line()
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            return  # the reader sees how it ended
+            return  # the reading task records how the connection ended
 
     async def _read_lines(self) -> None:
         while line := await self._lines.read_line():
@@ -187,13 +188,13 @@
             if word == "M":
                 now = trio.current_time()
                 self._history.add(LineReturned(now, self._plan.request, now - float(sent_at)))
-                # What came before it was swallowed by the server, and is answered by this one's return.
-                while self._unanswered and self._unanswered[0] <= float(sent_at) + CLOCK_DIGITS_S:
+                # Lines sent before this one were dropped by the server; this line counts as their answer too.
+                while self._unanswered and self._unanswered[0] <= float(sent_at) + SENT_AT_PRECISION_S:
                     self._unanswered.popleft()
             elif word == "MOVE":
                 return
 
-    def _record_silence(self) -> None:
+    def _record_unanswered_line(self) -> None:
         waited_s = trio.current_time() - self._unanswered[0] if self._unanswered else 0.0
         if waited_s > MAX_UNANSWERED_S:
             self._history.add(LineUnanswered(trio.current_time(), self._plan.request, waited_s))
--- a/walkloom/lab/soak/deployment.py
+++ b/walkloom/lab/soak/deployment.py
@@ -1,4 +1,4 @@
-"""What a run consists of, drawn from its seed: settings, servers, processes. No I/O."""
+"""The deployment of a run, drawn from its seed: settings, servers and processes. No I/O."""
 
 from __future__ import annotations
 
@@ -8,39 +8,39 @@
 
 from walkloom.lab.settings import LabClass, platform_settings
 
-# A balancer's limit of descriptors; the lower one is what a crowd of idle clients fills.
-SOCKETS = 1024
-SOCKETS_WITH_CROWD = 150
+# A balancer's descriptor limit; the lower one is reached by a crowd of idle clients.
+DESCRIPTOR_LIMIT = 1024
+DESCRIPTOR_LIMIT_WITH_CROWD = 150
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
     """The settings and sizes of one run."""
 
-    # What the settings tell; fewer processes run.
+    # The number of balancers in the settings; fewer processes run.
     balancer_count: int
     process_count: int
     server_count: int
     is_pushed: bool
-    ask_within_ms: float
+    max_poll_interval_ms: float
     drain_grace_ms: float
     longest_deadline_ms: int
     load_reports: bool
-    # Requests a second, over all processes.
+    # Requests per second, over all processes.
     request_rate: float
-    # Idle clients fill the descriptors.
+    # Whether a crowd of idle clients uses up the descriptors.
     has_crowd: bool
-    # Ready at the start; the others are added later.
+    # Servers and processes are spread over the zones in turn.
     zones: tuple[str, ...] = ("here",)
     max_attempts: int = 3
-    # Of the class with the longest deadline; as in LabClass.
+    # For the class with the longest deadline; values as in LabClass.
     repeat: str = "idempotent"
     deduplication_scope: str = "all"
     deduplication_window_ms: float = 5000.0
 
     @property
     def classes(self) -> tuple[LabClass, ...]:
-        """Three classes, the longest deadline last."""
+        """The request classes, the longest deadline last."""
         shortest = max(self.longest_deadline_ms // 3, 300)
         return (
             LabClass("view", latency_objective_ms=shortest / 3, deadline_ms=float(shortest)),
@@ -55,17 +55,17 @@
         )
 
     @property
-    def kill_after_s(self) -> float:
-        """SIGKILL comes so long after SIGTERM at the earliest."""
+    def sigkill_delay_s(self) -> float:
+        """The shortest time from SIGTERM to SIGKILL, in seconds."""
         return min(self.longest_deadline_ms / 1000.0, 3.0) + 0.7
 
     def zone_of(self, server: str) -> str:
-        """Return the zone of a server, by the number in its name."""
+        """Return the zone of a server, derived from the number in its name."""
         number = int(server.rpartition("-")[2]) if "-" in server else 0
         return self.zones[number % len(self.zones)]
 
     def settings(self, zone: str) -> dict[str, Any]:
-        """Return the settings object of a balancer in a zone."""
+        """Return the platform's settings object for a balancer in a zone."""
         settings = platform_settings(
             classes=self.classes,
             tenants=("t",),
@@ -76,13 +76,13 @@
         )
         settings["membership-mode"] = "push" if self.is_pushed else "ask"
         settings["guarantees"]["drain-grace"] = self.drain_grace_ms
-        settings["guarantees"]["ask-within"] = self.ask_within_ms
+        settings["guarantees"]["ask-within"] = self.max_poll_interval_ms
         settings["limits"]["max-attempts"] = self.max_attempts
         return settings
 
 
 def draw(seed: int) -> Deployment:
-    """Return the deployment of a seed; one in four has a crowd."""
+    """Return the deployment of a seed; one seed in four has a crowd of idle clients."""
     random = Random(f"deployment/{seed}")
     zones = random.choice([("here",), ("here", "there"), ("here", "there", "far")])
     return Deployment(
@@ -90,7 +90,7 @@
         process_count=random.randint(3, 8),
         server_count=random.randint(4, 24),
         is_pushed=random.random() < 0.25,
-        ask_within_ms=random.choice([3000.0, 10_000.0, 20_000.0]),
+        max_poll_interval_ms=random.choice([3000.0, 10_000.0, 20_000.0]),
         drain_grace_ms=random.choice([250.0, 400.0, 500.0]),
         longest_deadline_ms=random.choice([400, 900, 1500, 3000, 5000]),
         load_reports=random.random() < 0.5,
@@ -103,6 +103,6 @@
     )
 
 
-def small(deployment: Deployment) -> Deployment:
-    """Return a deployment with few processes, for short runs."""
+def shrink(deployment: Deployment) -> Deployment:
+    """Return the deployment with at most three processes and fewer requests, for short runs."""
     return replace(deployment, process_count=min(deployment.process_count, 3), request_rate=20.0)
--- a/walkloom/lab/soak/discovery.py
+++ b/walkloom/lab/soak/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in of discovery with faults: one registry, and a listener for each balancer."""
+"""A stand-in for discovery with faults: one registry, and a listener for each balancer."""
 
 from __future__ import annotations
 
@@ -29,43 +29,44 @@
 TRICKLE_BYTES = 200
 TRICKLE_INTERVAL_S = 0.05
 BACKLOG = 64
-# In ANSWERING_LATE.
+# Delay of each answer in ANSWERING_LATE.
 ANSWER_DELAY_S = 1.5
-# In CROWDED: what each call takes, one after another, and how old a call may get in the queue.
+# In CROWDED, calls are served one at a time: their service time, and the longest wait in the queue.
 CROWDED_CALL_S = 0.05
 CROWDED_MAX_WAIT_S = 2.0
 
-_TARGET = re.compile(rb"GET /registry/instances(?:\?index=(\d+)&wait=(\d+))? HTTP/1\.1\r\n")
+_REQUEST_HEAD = re.compile(rb"GET /registry/instances(?:\?index=(\d+)&wait=(\d+))? HTTP/1\.1\r\n")
 _UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 
 
 class DiscoveryMode(Enum):
-    """What discovery does with calls."""
+    """How discovery handles calls."""
 
     HEALTHY = "healthy"
-    # Connections are refused, and open ones were reset.
+    # Connections are refused, and open ones are reset.
     REFUSING = "refusing"
-    # Every call, and every open watch, is answered 503.
+    # Every call and every open watch is answered with 503.
     UNAVAILABLE = "unavailable"
-    # Connections are accepted, and no call is answered.
+    # Connections are accepted, but no call is answered.
     SILENT = "silent"
     ANSWERING_LATE = "answering_late"
     TRICKLING = "trickling"
-    # The answer ends within its body.
+    # The answer ends in the middle of its body.
     CUT = "cut"
-    # One call at a time; calls that waited too long end with 503, and still take their turn.
+    # Calls are served one at a time. A call that waits too long ends with 503, but still uses its service
+    # time.
     CROWDED = "crowded"
 
 
-# In these discovery is down. Silence and spoilt answers excuse nobody: what a balancer misses then counts as
-# notified all the same.
+# Modes in which discovery counts as down. Silence and malformed answers are no excuse: a change that a
+# balancer misses in those modes still counts as notified.
 DOWN_MODES = (DiscoveryMode.REFUSING, DiscoveryMode.UNAVAILABLE)
 PUSHED_DOWN_MODES = (*DOWN_MODES, DiscoveryMode.SILENT)
 
 
 @dataclass
-class _Entry:
-    """A server in the registry."""
+class _ServerEntry:
+    """The registry's entry of a server."""
 
     name: str
     address: str
@@ -92,65 +93,66 @@
     """One connection of a balancer."""
 
     stream: trio.SocketStream
-    # The open watch gets no answer any more.
+    # The open watch on this connection is never answered.
     is_silenced: bool = False
     is_in_call: bool = False
 
 
 @dataclass
-class _Gate:
-    """The listener of one balancer."""
+class _Caller:
+    """A balancer that calls discovery: its listener and its open connections."""
 
     balancer: str
     port: int
     listener: trio.SocketListener | None = None
     connections: list[_Connection] = field(default_factory=list)
-    # So many next calls are answered 503, whatever the mode.
-    failing_calls: int = 0
+    # The number of next calls that are answered with 503, whatever the mode.
+    calls_to_fail: int = 0
 
 
 class FaultyDiscovery:
-    """The registry of a run."""
+    """The discovery service of a run: the registry and its faults."""
 
     def __init__(
         self, host: LoopbackHost, history: History, nursery: trio.Nursery, *, is_pushed: bool
     ) -> None:
         """The listeners run in the nursery, on ports of the host.
 
-        is_pushed: it is the agent of a pushed list, which learns nothing while it is silent.
+        is_pushed: this is the agent of a pushed list. It learns no change while SILENT, so that mode
+        counts as down too.
         """
         self._host = host
         self._down_modes = PUSHED_DOWN_MODES if is_pushed else DOWN_MODES
         self._mode_lock = trio.Lock()
         self.mode = DiscoveryMode.HEALTHY
-        # Whole lists are sent in place of changes.
+        # Whether snapshots are sent instead of incremental updates.
         self.sends_snapshots = False
         self.generation = 0
-        # Of all lists, their heads included.
+        # Total size of all lists that were written, with their HTTP heads.
         self.written_bytes = 0
         self._history = history
         self._nursery = nursery
-        self._entries: dict[str, _Entry] = {}
-        self._gates: dict[str, _Gate] = {}
+        self._entries: dict[str, _ServerEntry] = {}
+        self._callers: dict[str, _Caller] = {}
         self._changed = trio.Event()
         self._queue_free_at = 0.0
 
     # The registry
 
-    def put(self, name: str, address: str, zone: str, started_at_unix_ms: float = 0.0) -> None:
-        """List a server as ready."""
-        self._change(_Entry(name, address, zone, Lifecycle.READY, 0, started_at_unix_ms))
+    def add_server(self, name: str, address: str, zone: str, started_at_unix_ms: float = 0.0) -> None:
+        """Add a server to the registry as ready."""
+        self._update_entry(_ServerEntry(name, address, zone, Lifecycle.READY, 0, started_at_unix_ms))
 
     def set_lifecycle(self, name: str, lifecycle: Lifecycle, started_at_unix_ms: float = 0.0) -> None:
-        """Change what the list says of a server."""
+        """Change the lifecycle of a server in the registry."""
         entry = self._entries[name]
-        self._change(
-            _Entry(
+        self._update_entry(
+            _ServerEntry(
                 name, entry.address, entry.zone, lifecycle, 0, started_at_unix_ms or entry.started_at_unix_ms
             )
         )
 
-    def _change(self, entry: _Entry) -> None:
+    def _update_entry(self, entry: _ServerEntry) -> None:
         self.generation += 1
         entry.generation = self.generation
         self._entries[entry.name] = entry
@@ -158,7 +160,7 @@
         self._wake()
 
     def snapshot(self) -> dict[str, object]:
-        """Return the whole list, in the wire's form."""
+        """Return the whole list in its wire form."""
         present = [entry for entry in self._entries.values() if entry.lifecycle is not Lifecycle.REMOVED]
         instances = [entry.to_wire() for entry in present]
         return {"generation": self.generation, "reset": True, "instances": instances}
@@ -170,117 +172,119 @@
     # Faults
 
     async def set_mode(self, mode: DiscoveryMode) -> None:
-        """Change what becomes of calls, for all balancers."""
+        """Change the mode for all balancers."""
         async with self._mode_lock:
             await self._set_mode(mode)
 
     async def _set_mode(self, mode: DiscoveryMode) -> None:
         self.mode = mode
         reachable = mode not in self._down_modes
-        for gate in self._gates.values():
-            self._history.add(DiscoveryReachable(trio.current_time(), gate.balancer, reachable))
-            if mode is DiscoveryMode.REFUSING and gate.listener:
-                await gate.listener.aclose()
-                gate.listener = None
-                await self._reset(gate)
-            elif mode is not DiscoveryMode.REFUSING and gate.listener is None:
-                self._listen(gate)
+        for caller in self._callers.values():
+            self._history.add(DiscoveryReachable(trio.current_time(), caller.balancer, reachable))
+            if mode is DiscoveryMode.REFUSING and caller.listener:
+                await caller.listener.aclose()
+                caller.listener = None
+                await self._reset(caller)
+            elif mode is not DiscoveryMode.REFUSING and caller.listener is None:
+                self._listen(caller)
         self._wake()
 
     async def reset_watches(self) -> None:
         """Reset all open connections."""
-        for gate in self._gates.values():
-            await self._reset(gate)
+        for caller in self._callers.values():
+            await self._reset(caller)
 
     def silence_watches(self) -> None:
-        """Let all open watches fall silent; calls over other connections are answered."""
-        for gate in self._gates.values():
-            for connection in gate.connections:
+        """Leave all open watches unanswered; calls over other connections are answered."""
+        for caller in self._callers.values():
+            for connection in caller.connections:
                 connection.is_silenced = True
-            self._history.add(WatchSilenced(trio.current_time(), gate.balancer))
+            self._history.add(WatchSilenced(trio.current_time(), caller.balancer))
 
     def fail_next_calls(self, count: int) -> None:
-        """Answer the next calls of each balancer 503."""
-        for gate in self._gates.values():
-            gate.failing_calls = count
+        """Answer the next `count` calls of each balancer with 503."""
+        for caller in self._callers.values():
+            caller.calls_to_fail = count
 
-    async def _reset(self, gate: _Gate) -> None:
-        for connection in list(gate.connections):
+    async def _reset(self, caller: _Caller) -> None:
+        for connection in list(caller.connections):
             with suppress(OSError):
                 connection.stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             await trio.aclose_forcefully(connection.stream)
 
     # Listeners
 
-    def open_gate(self, balancer: str) -> str:
-        """Listen for a balancer; return the address that it is to call."""
-        gate = _Gate(balancer, self._host.next_port())
-        self._gates[balancer] = gate
+    def listen_for(self, balancer: str) -> str:
+        """Listen for a balancer; return the address that it must call."""
+        caller = _Caller(balancer, self._host.next_port())
+        self._callers[balancer] = caller
         self._history.add(DiscoveryReachable(trio.current_time(), balancer, True))
-        self._listen(gate)
-        return f"{self._host.address}:{gate.port}"
+        self._listen(caller)
+        return f"{self._host.address}:{caller.port}"
 
-    def _listen(self, gate: _Gate) -> None:
+    def _listen(self, caller: _Caller) -> None:
         sock = trio.socket.from_stdlib_socket(
-            socket.create_server((self._host.address, gate.port), backlog=BACKLOG)
+            socket.create_server((self._host.address, caller.port), backlog=BACKLOG)
         )
-        gate.listener = trio.SocketListener(sock)
-        self._nursery.start_soon(self._accept, gate, gate.listener)
+        caller.listener = trio.SocketListener(sock)
+        self._nursery.start_soon(self._accept, caller, caller.listener)
 
-    async def _accept(self, gate: _Gate, listener: trio.SocketListener) -> None:
+    async def _accept(self, caller: _Caller, listener: trio.SocketListener) -> None:
         with suppress(trio.ClosedResourceError):
             while True:
                 stream = await listener.accept()
-                self._nursery.start_soon(self._serve, gate, _Connection(stream))
+                self._nursery.start_soon(self._serve, caller, _Connection(stream))
 
-    async def _serve(self, gate: _Gate, connection: _Connection) -> None:
-        gate.connections.append(connection)
+    async def _serve(self, caller: _Caller, connection: _Connection) -> None:
+        caller.connections.append(connection)
         try:
-            while await self._serve_call(gate, connection):
+            while await self._serve_call(caller, connection):
                 pass
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            self._history.add(CallFailed(trio.current_time(), gate.balancer))
+            self._history.add(CallFailed(trio.current_time(), caller.balancer))
         finally:
-            gate.connections.remove(connection)
+            caller.connections.remove(connection)
             await trio.aclose_forcefully(connection.stream)
 
     # One call
 
-    async def _serve_call(self, gate: _Gate, connection: _Connection) -> bool:
-        """Answer one call; False where the connection is to be closed."""
+    async def _serve_call(self, caller: _Caller, connection: _Connection) -> bool:
+        """Answer one call; return False where the connection must be closed."""
         head = bytearray()
         while b"\r\n\r\n" not in head:
             data = await connection.stream.receive_some(RECEIVE_BYTES)
             if not data or len(head) > MAX_HEAD_BYTES:
                 return False
             head += data
-        self._history.add(CallReceived(trio.current_time(), gate.balancer))
-        match = _TARGET.match(head)
+        self._history.add(CallReceived(trio.current_time(), caller.balancer))
+        match = _REQUEST_HEAD.match(head)
         if match is None:
             return False
-        if gate.failing_calls > 0:
-            gate.failing_calls -= 1
-            return await self._refuse(gate, connection)
+        if caller.calls_to_fail > 0:
+            caller.calls_to_fail -= 1
+            return await self._refuse(caller, connection)
         if self.mode is DiscoveryMode.CROWDED and not await self._wait_in_queue():
-            return await self._refuse(gate, connection)
+            return await self._refuse(caller, connection)
         index = int(match[1]) if match[1] else None
-        if index is not None and not await self._hold_while_open(connection, index, int(match[2]) / 1000.0):
+        if index is not None and not await self._hold_watch_while_open(
+            connection, index, int(match[2]) / 1000.0
+        ):
             return False
-        return await self._answer(gate, connection, index)
+        return await self._answer(caller, connection, index)
 
     async def _wait_in_queue(self) -> bool:
-        """Take a turn; False where the call waited too long."""
+        """Wait for a turn in the queue; return False where the call waited too long."""
         now = trio.current_time()
-        starts_at = max(now, self._queue_free_at)
-        self._queue_free_at = starts_at + CROWDED_CALL_S
-        if starts_at - now > CROWDED_MAX_WAIT_S:
+        turn_starts_at = max(now, self._queue_free_at)
+        self._queue_free_at = turn_starts_at + CROWDED_CALL_S
+        if turn_starts_at - now > CROWDED_MAX_WAIT_S:
             await trio.sleep(CROWDED_MAX_WAIT_S)
             return False
         await trio.sleep(self._queue_free_at - now)
         return True
 
-    async def _hold_while_open(self, connection: _Connection, index: int, wait_s: float) -> bool:
-        """Hold a call; False where the balancer ends the connection meanwhile."""
+    async def _hold_watch_while_open(self, connection: _Connection, index: int, wait_s: float) -> bool:
+        """Hold a watch; return False where the balancer ends the connection meanwhile."""
         is_open = True
 
         async def watch_for_end() -> None:
@@ -293,23 +297,23 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch_for_end)
-            await self._hold(connection, index, wait_s)
+            await self._hold_watch(connection, index, wait_s)
             nursery.cancel_scope.cancel()
         return is_open
 
-    async def _hold(self, connection: _Connection, index: int, wait_s: float) -> None:
-        """Wait for a change after a generation, a fault that ends the watch, or the end of its time."""
+    async def _hold_watch(self, connection: _Connection, index: int, wait_s: float) -> None:
+        """Wait for a change after generation `index`, a fault that ends the watch, or its timeout."""
         with trio.move_on_after(wait_s):
             while self.generation <= index and self.mode is not DiscoveryMode.UNAVAILABLE:
                 await self._changed.wait()
         while connection.is_silenced or self.mode is DiscoveryMode.SILENT:
             await self._changed.wait()
 
-    async def _answer(self, gate: _Gate, connection: _Connection, index: int | None) -> bool:
+    async def _answer(self, caller: _Caller, connection: _Connection, index: int | None) -> bool:
         while self.mode is DiscoveryMode.SILENT:
             await self._changed.wait()
         if self.mode is DiscoveryMode.UNAVAILABLE:
-            return await self._refuse(gate, connection)
+            return await self._refuse(caller, connection)
         if self.mode is DiscoveryMode.ANSWERING_LATE:
             await trio.sleep(ANSWER_DELAY_S)
         generation = self.generation
@@ -317,19 +321,19 @@
         data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
         if self.mode is DiscoveryMode.CUT:
             await connection.stream.send_all(data[: -len(body) // 2])
-            self._history.add(CallFailed(trio.current_time(), gate.balancer))
+            self._history.add(CallFailed(trio.current_time(), caller.balancer))
             return False
         if self.mode is DiscoveryMode.TRICKLING:
             await _trickle(connection.stream, data)
         else:
             await connection.stream.send_all(data)
         self.written_bytes += len(data)
-        self._history.add(ListWritten(trio.current_time(), gate.balancer, generation))
+        self._history.add(ListWritten(trio.current_time(), caller.balancer, generation))
         return True
 
-    async def _refuse(self, gate: _Gate, connection: _Connection) -> bool:
+    async def _refuse(self, caller: _Caller, connection: _Connection) -> bool:
         await connection.stream.send_all(_UNAVAILABLE)
-        self._history.add(CallFailed(trio.current_time(), gate.balancer))
+        self._history.add(CallFailed(trio.current_time(), caller.balancer))
         return False
 
     def _list_after(self, index: int | None) -> dict[str, object]:
--- a/walkloom/lab/soak/history.py
+++ b/walkloom/lab/soak/history.py
@@ -1,4 +1,4 @@
-"""What the stand-ins and clients of a run saw, in the order in which they saw it. No I/O.
+"""The records of a run that the stand-ins and clients made, in the order of observation. No I/O.
 
 All times (`at`) are seconds of the monotonic clock.
 """
@@ -11,7 +11,7 @@
 
 
 class Lifecycle(Enum):
-    """What the registry says of a server; the values are the wire's."""
+    """The lifecycle of a server in the registry; the values are those of the wire."""
 
     READY = "up"
     DRAINING = "draining"
@@ -19,7 +19,7 @@
 
 
 class AttemptEnd(Enum):
-    """How an attempt at a server ended, as the server saw it."""
+    """How an attempt on a server ended, as the server observed it."""
 
     ESTABLISHED = "UP"
     AT_CAPACITY = "BUSY"
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryReachable:
-    """From now on a call of this balancer would be answered, or not."""
+    """From this time on, discovery counts as reachable for this balancer, or as down."""
 
     at: float
     balancer: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchSilenced:
-    """The open watch of a balancer gets no answer any more."""
+    """From this time on, the open watch of a balancer is not answered."""
 
     at: float
     balancer: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallReceived:
-    """A call for the list has come, whole."""
+    """Discovery has received a complete call for the list."""
 
     at: float
     balancer: str
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessStarted:
-    """A balancer process was started; it knows the list up to a generation from its file."""
+    """A balancer process was started; its configuration file has the list up to a generation."""
 
     at: float
     balancer: str
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessReady:
-    """It answered PING for the first time."""
+    """A balancer process answered PING for the first time."""
 
     at: float
     balancer: str
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLeft:
-    """A client closed its connection, of its own will."""
+    """A client closed its connection itself."""
 
     at: float
     request: str
@@ -155,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LineReturned:
-    """A client has read the answer to a line that it sent `delay_s` before."""
+    """A client has read the answer to a line that it sent `delay_s` earlier."""
 
     at: float
     request: str
@@ -164,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LineUnanswered:
-    """A client has waited for the answer to a line for so long, and its connection is still open."""
+    """A line of a client is unanswered after `waited_s`, and the connection is still open."""
 
     at: float
     request: str
@@ -173,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessMeasured:
-    """What a balancer process holds, right after it became ready or at the end of the run."""
+    """Resource use of a balancer process, right after it became ready or at the end of the run."""
 
     at: float
     balancer: str
@@ -183,7 +183,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptBegan:
-    """The first byte of a request line has come to a server."""
+    """A server has received the first byte of a request line."""
 
     at: float
     server: str
@@ -192,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptNamed:
-    """The request line is whole: the attempt belongs to this request."""
+    """The request line is complete: the attempt belongs to this request."""
 
     at: float
     attempt: int
@@ -201,7 +201,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt ended; an established one with its `UP`."""
+    """An attempt ended; an established one ends when its `UP` is sent."""
 
     at: float
     attempt: int
@@ -210,7 +210,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerConnectionEnded:
-    """A connection that a server had taken ended; `by_server`: of the server's own will."""
+    """An established connection of a server ended; `by_server`: the server ended it."""
 
     at: float
     attempt: int
@@ -219,7 +219,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HarnessStalled:
-    """The stand-ins did not run between two times: records right after may be that much late."""
+    """The stand-ins did not run from `since` to `at`; records right after may be late by that duration."""
 
     at: float
     since: float
--- a/walkloom/lab/soak/hosts.py
+++ b/walkloom/lab/soak/hosts.py
@@ -1,16 +1,16 @@
-"""Loopback addresses of a run: its listeners have a host of their own, so that runs do not collide."""
+"""Loopback addresses: the listeners of a run have their own host, so that parallel runs do not collide."""
 
 from __future__ import annotations
 
 import secrets
 from itertools import count
 
-# Below the ports that the system gives to connections.
+# Below the range of ephemeral ports.
 FIRST_PORT = 20_000
 
 
 class LoopbackHost:
-    """A loopback address that hardly any other run on this machine has, and its ports."""
+    """A random loopback address, which is unlikely to be used by another run, and its ports."""
 
     def __init__(self) -> None:
         self.address = (
@@ -19,5 +19,5 @@
         self._ports = count(FIRST_PORT)
 
     def next_port(self) -> int:
-        """Return a port that this run has not used."""
+        """Return a port that this run has not used yet."""
         return next(self._ports)
--- a/walkloom/lab/soak/process.py
+++ b/walkloom/lab/soak/process.py
@@ -1,4 +1,4 @@
-"""Balancer processes of a run: their files, signals, logs, and the shim of the wall clock."""
+"""Balancer processes of a run: their files, signals and logs, and the shim that injects machine faults."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
     ProcessStarted,
 )
 
-ROOT = Path(__file__).parents[3]
-SHIM = Path(__file__).parent / "shim"
+REPOSITORY_ROOT = Path(__file__).parents[3]
+SHIM_FOLDER = Path(__file__).parent / "shim"
 READY_POLL_S = 0.03
 PING_TIMEOUT_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class SystemCallFault:
-    """A part of the calls of one kind fails."""
+    """A share of the system calls of one kind fails."""
 
-    # accept, connect, send, recv or socket.
+    # One of accept, connect, send, recv, socket.
     call: str
 
-    # The number of an error, or "short": only a few bytes are taken or given.
+    # An errno number, or "short": only a few bytes are sent or received.
     what: str
 
     share: float
@@ -44,7 +44,7 @@
 
 @dataclass
 class SoakProcess:
-    """One balancer process; it keeps its name, address and log over restarts."""
+    """One balancer process; its name, address and log stay the same across restarts."""
 
     name: str
     address: str
@@ -52,26 +52,30 @@
     configuration: dict[str, Any]
     history: History
     python: str = sys.executable
-    source: Path = ROOT
+    source: Path = REPOSITORY_ROOT
     popen: subprocess.Popen[bytes] | None = None
 
     @property
     def log_path(self) -> Path:
-        """The file that all its lives write their log to."""
+        """The log file, shared by all restarts."""
         return self.folder / "log.txt"
 
     def write_configuration(self) -> None:
-        """Write the file that GW_CONFIG names."""
+        """Write the configuration file, which GW_CONFIG names."""
         (self.folder / "config.json").write_bytes(orjson.dumps(self.configuration))
 
     def start(self, known_generation: int, wall_clock_step_s: float = 0.0) -> None:
-        """Start it. wall_clock_step_s: how far its wall clock is ahead."""
+        """Start the process.
+
+        known_generation: the generation of the list in its configuration file.
+        wall_clock_step_s: how far its wall clock is ahead.
+        """
         self.write_configuration()
         self.set_wall_clock(wall_clock_step_s)
         environment = {
             **os.environ,
             "GW_CONFIG": str(self.folder / "config.json"),
-            "PYTHONPATH": f"{SHIM}:{self.source}",
+            "PYTHONPATH": f"{SHIM_FOLDER}:{self.source}",
             "SOAK_WALL_CLOCK": str(self.folder / "wall_clock"),
             "SOAK_SYSTEM_CALLS": str(self.folder / "system_calls"),
         }
@@ -86,19 +90,19 @@
         self.history.add(ProcessStarted(trio.current_time(), self.name, known_generation))
 
     def set_wall_clock(self, step_s: float) -> None:
-        """Step its wall clock, also while it runs."""
+        """Set how far the process's wall clock is ahead; works while it runs."""
         (self.folder / "wall_clock").write_text(f"{step_s}")
 
     def set_system_call_fault(self, fault: SystemCallFault | None) -> None:
-        """Let a part of one kind of its system calls fail, or none."""
+        """Make a share of one kind of its system calls fail; None: no call fails."""
         text = f"{fault.call} {fault.what} {fault.share}\n" if fault else ""
-        # Replaced whole, as the process reads it at any time.
-        new = self.folder / "system_calls.new"
-        new.write_text(text)
-        new.replace(self.folder / "system_calls")
+        # The file is replaced atomically, since the process may read it at any time.
+        new_file = self.folder / "system_calls.new"
+        new_file.write_text(text)
+        new_file.replace(self.folder / "system_calls")
 
     def measure(self) -> None:
-        """Record how many descriptors and how much memory it holds."""
+        """Record the number of open descriptors and the resident memory of the process."""
         if self.popen and self.is_running:
             with suppress(OSError):
                 descriptors = len(os.listdir(f"/proc/{self.popen.pid}/fd"))
@@ -109,18 +113,18 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process was started and has not ended."""
         return self.popen is not None and self.popen.poll() is None
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal, if it runs."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal if the process is running."""
         if self.popen and self.is_running:
             self.history.add(ProcessSignalled(trio.current_time(), self.name, number.name))
             with suppress(ProcessLookupError):
                 self.popen.send_signal(number)
 
     async def wait(self) -> int:
-        """Wait for its end; return its status."""
+        """Wait for the process to end; return its exit status."""
         assert self.popen
         while self.popen.poll() is None:
             await trio.sleep(READY_POLL_S / 3)
@@ -129,7 +133,7 @@
         return status
 
     async def wait_until_ready(self) -> None:
-        """Return once it answers PING, or has ended."""
+        """Return once the process answers PING or has ended."""
         host, _, port = self.address.rpartition(":")
         while self.is_running:
             with trio.move_on_after(PING_TIMEOUT_S), suppress(OSError, trio.BrokenResourceError):
--- a/walkloom/lab/soak/process_rules.py
+++ b/walkloom/lab/soak/process_rules.py
@@ -1,4 +1,4 @@
-"""Rules about processes: none ends by itself, each is ready in time, none grows. No I/O."""
+"""Rules for processes: none crashes, each is ready in time, none leaks descriptors or memory. No I/O."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 from walkloom.lab.soak.violation import Violation
 
 MAX_READY_S = 10.0
-# At the end of a run a process may hold so much more than when it was ready: a connection to each server
-# that waits for another poll of its load, some that are closing, and what the allocator keeps.
+# At the end of a run a process may hold this much more than when it became ready, for connections that are
+# closing and memory that the allocator keeps. It may also hold one descriptor for each server: a connection
+# kept for the next poll of its load report.
 MAX_EXTRA_DESCRIPTORS = 10
 MAX_EXTRA_MEMORY_KIB = 24 << 10
 
-# Ended by a signal that the run sent, or by itself after SIGTERM.
+# 0 after SIGTERM, -9 after the run's SIGKILL.
 _EXPECTED_STATUSES = (0, -9)
 
 
 def check(run: RunRecords, deployment: Deployment) -> Iterator[Violation]:
-    """Return the violations of all processes."""
+    """Yield the violations of all processes."""
     yield from _check_exits(run)
     for start in run.processes.starts:
         yield from _check_ready(run, start)
@@ -37,9 +38,9 @@
 
 def _check_ready(run: RunRecords, start: ProcessStarted) -> Iterator[Violation]:
     bound = start.at + MAX_READY_S + run.stalls.stalled_s(start.at, start.at + MAX_READY_S)
-    readies = (
+    ready_records = (
         ready.at
-        for ready in run.processes.readies
+        for ready in run.processes.ready_records
         if ready.balancer == start.balancer and ready.at >= start.at
     )
     was_ended = any(
@@ -48,22 +49,22 @@
         and start.at <= signal.at <= bound
         for signal in run.processes.signals
     )
-    if min(readies, default=math.inf) > bound and not was_ended:
+    if min(ready_records, default=math.inf) > bound and not was_ended:
         yield Violation("ready", start.balancer, "-", start.at, bound, "not ready in time")
 
 
 def _check_growth(run: RunRecords, deployment: Deployment) -> Iterator[Violation]:
     newest_start = {start.balancer: start.at for start in run.processes.starts}
-    bases: dict[str, ProcessMeasured] = {}
-    for measure in run.processes.measures:
-        if measure.at < newest_start.get(measure.balancer, 0.0):
+    baselines: dict[str, ProcessMeasured] = {}
+    for measurement in run.processes.measurements:
+        if measurement.at < newest_start.get(measurement.balancer, 0.0):
             continue
-        base = bases.setdefault(measure.balancer, measure)
-        descriptors = base.descriptors + deployment.server_count + MAX_EXTRA_DESCRIPTORS
-        memory_kib = base.memory_kib + MAX_EXTRA_MEMORY_KIB
-        if measure.descriptors > descriptors or measure.memory_kib > memory_kib:
+        baseline = baselines.setdefault(measurement.balancer, measurement)
+        descriptors = baseline.descriptors + deployment.server_count + MAX_EXTRA_DESCRIPTORS
+        memory_kib = baseline.memory_kib + MAX_EXTRA_MEMORY_KIB
+        if measurement.descriptors > descriptors or measurement.memory_kib > memory_kib:
             text = (
-                f"holds {measure.descriptors} descriptors and {measure.memory_kib} KiB, "
-                f"{base.descriptors} and {base.memory_kib} once it was ready"
+                f"holds {measurement.descriptors} descriptors and {measurement.memory_kib} KiB, but held "
+                f"{baseline.descriptors} and {baseline.memory_kib} KiB when it became ready"
             )
-            yield Violation("growth", measure.balancer, "-", measure.at, math.inf, text)
+            yield Violation("growth", measurement.balancer, "-", measurement.at, math.inf, text)
--- a/walkloom/lab/soak/report.py
+++ b/walkloom/lab/soak/report.py
@@ -1,4 +1,4 @@
-"""The verdict of a run in a line, and a timeline for each violation."""
+"""The summary line of a run, and a timeline for each violation."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 from walkloom.lab.soak.runner import RunResult
 from walkloom.lab.soak.violation import Violation
 
-# Of one cause a run has many violations; so many get a timeline.
+# One cause often has many violations; only the first few get a timeline.
 MAX_TIMELINES = 5
-# A timeline has the faults and notices of so long before the violation, and so long after.
-BEFORE_S = 20.0
-AFTER_S = 1.0
+# A timeline covers the records from this long before the violation to this long after it.
+TIMELINE_BEFORE_S = 20.0
+TIMELINE_AFTER_S = 1.0
 
 
-def verdict(name: str, result: RunResult) -> str:
-    """Return one line: the run, what it was, and how many violations of each rule."""
+def summary_line(name: str, result: RunResult) -> str:
+    """Return one line with the run's name, the violations of each rule, its deployment and its answers."""
     deployment = result.plan.deployment
     rules = Counter(violation.rule for violation in result.violations)
     records = result.history.records
     sent = sum(isinstance(record, RequestSent) for record in records)
     answers = Counter(record.word for record in records if isinstance(record, RequestAnswered))
     stall_s = max((r.at - r.since for r in records if isinstance(r, HarnessStalled)), default=0.0)
-    broken = " ".join(f"{rule}={count}" for rule, count in sorted(rules.items())) or "none"
+    violation_counts = " ".join(f"{rule}={count}" for rule, count in sorted(rules.items())) or "none"
     return (
-        f"{name}: violations {broken} | balancers {deployment.balancer_count}, "
+        f"{name}: violations {violation_counts} | balancers {deployment.balancer_count}, "
         f"processes {deployment.process_count}, servers {deployment.server_count}, "
         f"{'pushed' if deployment.is_pushed else 'asked'}{', crowd' if deployment.has_crowd else ''} | "
         f"requests {sent}, "
@@ -48,7 +48,7 @@
 
 
 def write_timelines(folder: Path, name: str, result: RunResult) -> list[Path]:
-    """Write a file for each of the first violations; return the files."""
+    """Write a timeline file for each of the first MAX_TIMELINES violations; return the files."""
     folder.mkdir(parents=True, exist_ok=True)
     files = []
     for number, violation in enumerate(result.violations[:MAX_TIMELINES]):
@@ -59,22 +59,24 @@
 
 
 def _timeline(violation: Violation, result: RunResult) -> list[str]:
-    lines = ["records (seconds before the violation)"]
+    lines = ["records (seconds relative to the violation)"]
     for record in result.history.records:
-        if -BEFORE_S <= record.at - violation.at <= AFTER_S and _concerns(record, violation, result):
+        if -TIMELINE_BEFORE_S <= record.at - violation.at <= TIMELINE_AFTER_S and _is_relevant(
+            record, violation, result
+        ):
             lines.append(f"{record.at - violation.at:9.3f} {record}")
     lines += ["", f"log of {violation.balancer}: this request, discovery, start and end"]
     log = result.logs.get(violation.balancer, "").splitlines()
-    words = (f"id={violation.request}", "discovery_", "listening", "shutdown", "ERROR", "reload")
-    lines += [line for line in log if any(word in line for word in words)]
+    log_markers = (f"id={violation.request}", "discovery_", "listening", "shutdown", "ERROR", "reload")
+    lines += [line for line in log if any(marker in line for marker in log_markers)]
     return lines
 
 
-def _concerns(record: Record, violation: Violation, result: RunResult) -> bool:
+def _is_relevant(record: Record, violation: Violation, result: RunResult) -> bool:
     if isinstance(record, FaultInjected | ListChanged):
         return True
-    of_process = ProcessStarted | ProcessReady | ProcessSignalled | ProcessExited | ListWritten
-    if isinstance(record, of_process):
+    process_records = ProcessStarted | ProcessReady | ProcessSignalled | ProcessExited | ListWritten
+    if isinstance(record, process_records):
         return record.balancer == violation.balancer
     if getattr(record, "request", None) == violation.request:
         return True
--- a/walkloom/lab/soak/run_records.py
+++ b/walkloom/lab/soak/run_records.py
@@ -1,4 +1,4 @@
-"""The history of a run, sorted by what it is about: requests and attempts, processes, the list. No I/O."""
+"""The history of a run, grouped by subject: requests and attempts, processes, the endpoint list. No I/O."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
     ServerConnectionEnded,
 )
 
-# Every time limit is this much longer on sockets. The platform's figure.
+# The platform's tolerance for times that are observed on sockets; every bound is extended by it.
 SOCKET_SLACK_S = 0.05
 
 
 @dataclass
 class Attempt:
-    """One attempt at a server."""
+    """One attempt on a server."""
 
     server: str
     began_at: float
@@ -49,7 +49,7 @@
 
 @dataclass
 class RequestRecords:
-    """All that was seen of one request."""
+    """All records of one request."""
 
     plan: ClientPlan
     sent_at: float = math.inf
@@ -63,47 +63,47 @@
 
 @dataclass
 class ProcessRecords:
-    """All that was seen of the processes, each list in the order of time."""
+    """All records of the processes; each list is ordered by time."""
 
     starts: list[ProcessStarted] = field(default_factory=list)
-    readies: list[ProcessReady] = field(default_factory=list)
+    ready_records: list[ProcessReady] = field(default_factory=list)
     signals: list[ProcessSignalled] = field(default_factory=list)
     exits: list[ProcessExited] = field(default_factory=list)
-    measures: list[ProcessMeasured] = field(default_factory=list)
+    measurements: list[ProcessMeasured] = field(default_factory=list)
 
     def add(self, record: Record) -> None:
-        """Take in a record; those that are about no process are passed over."""
+        """Add a record; records that concern no process are ignored."""
         match record:
             case ProcessStarted():
                 self.starts.append(record)
             case ProcessReady():
-                self.readies.append(record)
+                self.ready_records.append(record)
             case ProcessSignalled():
                 self.signals.append(record)
             case ProcessExited():
                 self.exits.append(record)
             case ProcessMeasured():
-                self.measures.append(record)
+                self.measurements.append(record)
 
-    def is_planned(self, kill: ProcessSignalled, kill_after_s: float) -> bool:
-        """Whether a SIGKILL ends a planned stop, at its earliest or up to a second later."""
+    def is_planned(self, kill: ProcessSignalled, sigkill_delay_s: float) -> bool:
+        """Whether a SIGKILL ends a planned shutdown: at most `sigkill_delay_s` + 1 s after a SIGTERM."""
         return any(
             signal.name == "SIGTERM"
             and signal.balancer == kill.balancer
-            and 0 < kill.at - signal.at <= kill_after_s + 1.0
+            and 0 < kill.at - signal.at <= sigkill_delay_s + 1.0
             for signal in self.signals
         )
 
 
 class Stalls:
-    """When the stand-ins did not run, so that what they recorded may have happened before."""
+    """Times in which the stand-ins did not run, so that records right after may be late."""
 
     def __init__(self, stalls: Iterable[HarnessStalled]) -> None:
         self._stalls = list(stalls)
         self._ends = [stall.at for stall in self._stalls]
 
-    def earliest(self, at: float) -> float:
-        """Return the earliest time at which something recorded at `at` can have happened."""
+    def earliest_time(self, at: float) -> float:
+        """Return the earliest time at which an event recorded at `at` can have happened."""
         index = bisect_right(self._ends, at) - 1
         if index >= 0 and at - self._stalls[index].at <= SOCKET_SLACK_S:
             return self._stalls[index].since
@@ -117,7 +117,7 @@
 
 
 class RunRecords:
-    """One run's history in parts."""
+    """The history of one run, grouped by subject."""
 
     def __init__(self, clients: Iterable[ClientPlan], history: History) -> None:
         self.requests = {plan.request: RequestRecords(plan) for plan in clients}
@@ -134,11 +134,13 @@
 
     @property
     def started_at(self) -> float:
-        """The origin of the clients' planned times."""
-        return min((each.sent_at - each.plan.at for each in self.requests.values()), default=0.0)
+        """The start of the run, from which the clients' offsets count."""
+        return min(
+            (request.sent_at - request.plan.offset_s for request in self.requests.values()), default=0.0
+        )
 
-    def drain_at(self, server: str, at: float) -> ListChanged | None:
-        """Return the change with which a server ceased to be ready; None where it is ready at `at`."""
+    def drain_in_effect(self, server: str, at: float) -> ListChanged | None:
+        """Return the change that ended a server's READY state; None where it is ready at `at`."""
         drain = None
         for change in self._changes.get(server, []):
             if change.at > at:
--- a/walkloom/lab/soak/runner.py
+++ b/walkloom/lab/soak/runner.py
@@ -1,4 +1,4 @@
-"""Plays one run: starts stand-ins and balancers, carries out the schedule, and returns what was seen."""
+"""Executes one run: starts stand-ins and balancers, applies the schedule, and returns the history."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from walkloom.lab.soak import schedule as schedules
 from walkloom.lab.soak.checker import check
 from walkloom.lab.soak.client import ClientPlan, run_client
-from walkloom.lab.soak.deployment import SOCKETS, SOCKETS_WITH_CROWD, Deployment
+from walkloom.lab.soak.deployment import DESCRIPTOR_LIMIT, DESCRIPTOR_LIMIT_WITH_CROWD, Deployment
 from walkloom.lab.soak.discovery import FaultyDiscovery
 from walkloom.lab.soak.history import FaultInjected, HarnessStalled, History, Lifecycle
 from walkloom.lab.soak.hosts import LoopbackHost
@@ -26,20 +26,20 @@
 from walkloom.lab.soak.server import RecordingServer
 from walkloom.lab.soak.violation import Violation
 
-HEARTBEAT_S = 0.01
-# The stand-ins count as stalled from this delay on.
+STALL_CHECK_INTERVAL_S = 0.01
+# A delay of the stall check above this counts as a stall of the stand-ins.
 MIN_STALL_S = 0.005
-# Between the end of a stopped process and the start of the next.
+# Pause between the end of a process and the start of its replacement.
 RESTART_GAP_S = 0.3
-# After the last request's deadline, for an answer that comes late.
-DRAIN_OUT_S = 0.7
-# For balancers to close what their clients have left, before what they hold is measured.
-CLOSE_S = 1.5
+# Wait for late answers after the deadline of the last request.
+FINAL_ANSWER_WAIT_S = 0.7
+# Time for balancers to close connections of clients that left, before their resources are measured.
+CLOSE_WAIT_S = 1.5
 
 
 @dataclass(frozen=True, slots=True)
 class RunPlan:
-    """All that decides a run."""
+    """Everything that determines a run."""
 
     deployment: Deployment
     schedule: Schedule
@@ -47,11 +47,11 @@
     seed: int = 1
 
     @classmethod
-    def of_seed(cls, seed: int, *, small: bool = False) -> RunPlan:
-        """Draw a run. small: few processes and requests."""
+    def from_seed(cls, seed: int, *, small: bool = False) -> RunPlan:
+        """Draw a run from its seed. small: few processes and requests."""
         deployment = deployments.draw(seed)
         if small:
-            deployment = deployments.small(deployment)
+            deployment = deployments.shrink(deployment)
         schedule = schedules.draw(seed, deployment)
         clients = schedules.draw_clients(seed, deployment, schedule.duration_s)
         return cls(deployment, schedule, tuple(clients), seed)
@@ -59,17 +59,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """What came of a run."""
+    """The result of a run."""
 
     plan: RunPlan
     history: History
     violations: list[Violation]
-    # What the processes logged, by balancer.
+    # Log output by balancer name.
     logs: dict[str, str]
 
 
 async def play(plan: RunPlan, source: Path | None = None) -> RunResult:
-    """Play a run. source: the checkout whose program is started; None: this one."""
+    """Execute a run. source: the folder that has the `walkloom` package to run; None: this checkout."""
     with tempfile.TemporaryDirectory(prefix="soak-") as folder:
         run = _Run(plan, Path(folder), source)
         await run.play()
@@ -79,7 +79,7 @@
 
 
 class _Run:
-    """The parts of a run while it is played."""
+    """A run in progress: its stand-ins and processes."""
 
     def __init__(self, plan: RunPlan, folder: Path, source: Path | None) -> None:
         self._plan = plan
@@ -91,13 +91,13 @@
         self._servers: list[RecordingServer] = []
         self._discovery: FaultyDiscovery
         self._nursery: trio.Nursery
-        self._is_over = False
-        # Processes that a step is replacing.
-        self._replacing: set[str] = set()
+        self._is_stopping = False
+        # Names of the processes that a step is restarting.
+        self._restarting: set[str] = set()
 
     async def play(self) -> None:
-        """Play the run from its start to the end of all processes."""
-        with self._processes_killed():
+        """Execute the run, from the start of the stand-ins to the end of all processes."""
+        with self._kill_processes_at_exit():
             async with trio.open_nursery() as self._nursery:
                 self._nursery.start_soon(self._watch_for_stalls)
                 self._start_stand_ins()
@@ -105,14 +105,14 @@
                 async with trio.open_nursery() as work:
                     started_at = trio.current_time()
                     for step in self._plan.schedule.steps:
-                        work.start_soon(self._step_at, started_at + step.at, step)
+                        work.start_soon(self._run_step_at, started_at + step.offset_s, step)
                     work.start_soon(self._send_clients, started_at)
-                await self._end_processes()
+                await self._stop_processes()
                 self._nursery.cancel_scope.cancel()
 
     @contextmanager
-    def _processes_killed(self) -> Iterator[None]:
-        """Leave no process behind, however the run ends."""
+    def _kill_processes_at_exit(self) -> Iterator[None]:
+        """Kill the processes that still run, however the run ends."""
         try:
             yield
         finally:
@@ -123,11 +123,11 @@
 
     async def _watch_for_stalls(self) -> None:
         while True:
-            due = trio.current_time() + HEARTBEAT_S
-            await trio.sleep(HEARTBEAT_S)
+            due_at = trio.current_time() + STALL_CHECK_INTERVAL_S
+            await trio.sleep(STALL_CHECK_INTERVAL_S)
             now = trio.current_time()
-            if now - due > MIN_STALL_S:
-                self.history.add(HarnessStalled(now, due))
+            if now - due_at > MIN_STALL_S:
+                self.history.add(HarnessStalled(now, due_at))
 
     def _start_stand_ins(self) -> None:
         deployment = self._plan.deployment
@@ -139,7 +139,7 @@
             server = RecordingServer(f"s-{number}", self._host, self.history, self._nursery)
             server.start()
             self._servers.append(server)
-            self._discovery.put(server.name, server.address, zone)
+            self._discovery.add_server(server.name, server.address, zone)
 
     async def _start_processes(self) -> None:
         deployment = self._plan.deployment
@@ -148,7 +148,7 @@
             folder = self._folder / name
             folder.mkdir()
             address = f"{self._host.address}:{self._host.next_port()}"
-            host, _, port = self._discovery.open_gate(name).rpartition(":")
+            host, _, port = self._discovery.listen_for(name).rpartition(":")
             zone = deployment.zones[number % len(deployment.zones)]
             configuration = balancer_configuration(
                 name,
@@ -156,59 +156,59 @@
                 (host, int(port)),
                 [],
                 deployment.settings(zone),
-                SOCKETS_WITH_CROWD if deployment.has_crowd else SOCKETS,
+                DESCRIPTOR_LIMIT_WITH_CROWD if deployment.has_crowd else DESCRIPTOR_LIMIT,
                 self._plan.seed * 1000 + number,
             )
             process = SoakProcess(name, address, folder, configuration, self.history)
             if self._source:
                 process.source = self._source
             self.processes.append(process)
-            self._start(process)
+            self._start_process(process)
         async with trio.open_nursery() as nursery:
             for process in self.processes:
                 nursery.start_soon(process.wait_until_ready)
 
-    def _start(self, process: SoakProcess) -> None:
+    def _start_process(self, process: SoakProcess) -> None:
         process.configuration["known"] = self._discovery.snapshot()
         process.start(self._discovery.generation)
 
     async def _send_clients(self, started_at: float) -> None:
         async with trio.open_nursery() as nursery:
             for client in self._plan.clients:
-                await trio.sleep_until(started_at + client.at)
+                await trio.sleep_until(started_at + client.offset_s)
                 address = self.processes[int(client.balancer[1:])].address
                 nursery.start_soon(run_client, client, address, self.history)
-            await trio.sleep(self._plan.deployment.longest_deadline_ms / 1000.0 + DRAIN_OUT_S)
+            await trio.sleep(self._plan.deployment.longest_deadline_ms / 1000.0 + FINAL_ANSWER_WAIT_S)
             nursery.cancel_scope.cancel()
 
-    async def _end_processes(self) -> None:
-        self._is_over = True
-        await trio.sleep(CLOSE_S)
+    async def _stop_processes(self) -> None:
+        self._is_stopping = True
+        await trio.sleep(CLOSE_WAIT_S)
         async with trio.open_nursery() as nursery:
             for process in self.processes:
-                nursery.start_soon(self._end, process)
+                nursery.start_soon(self._stop_process, process)
 
-    async def _end(self, process: SoakProcess) -> None:
-        """SIGTERM, and SIGKILL at the page's earliest."""
-        if self._is_over:
+    async def _stop_process(self, process: SoakProcess) -> None:
+        """Send SIGTERM, then SIGKILL after the shortest delay that the platform allows."""
+        if self._is_stopping:
             process.measure()
-        process.send(signal.SIGTERM)
-        with trio.move_on_after(self._plan.deployment.kill_after_s):
+        process.send_signal(signal.SIGTERM)
+        with trio.move_on_after(self._plan.deployment.sigkill_delay_s):
             await process.wait()
             return
-        process.send(signal.SIGKILL)
+        process.send_signal(signal.SIGKILL)
         await process.wait()
 
-    # Steps
+    # Steps of the schedule
 
-    async def _step_at(self, at: float, step: Step) -> None:
+    async def _run_step_at(self, at: float, step: Step) -> None:
         await trio.sleep_until(at)
-        if self._is_over:
+        if self._is_stopping:
             return
         self.history.add(FaultInjected(trio.current_time(), _describe(step)))
-        await self._carry_out(step)
+        await self._apply_step(step)
 
-    async def _carry_out(self, step: Step) -> None:
+    async def _apply_step(self, step: Step) -> None:
         match step.kind:
             case StepKind.DISCOVERY:
                 await self._discovery.set_mode(step.discovery_mode)
@@ -223,18 +223,18 @@
             case _ if step.processes:
                 async with trio.open_nursery() as nursery:
                     for number in step.processes:
-                        nursery.start_soon(self._signal, self.processes[number], step)
+                        nursery.start_soon(self._apply_process_step, self.processes[number], step)
             case _:
                 for number in step.servers:
-                    await self._change_server(self._servers[number], step)
+                    await self._apply_server_step(self._servers[number], step)
 
-    async def _change_server(self, server: RecordingServer, step: Step) -> None:
+    async def _apply_server_step(self, server: RecordingServer, step: Step) -> None:
         match step.kind:
             case StepKind.DRAIN:
                 self._discovery.set_lifecycle(server.name, Lifecycle.DRAINING)
             case StepKind.LEAVE:
                 self._discovery.set_lifecycle(server.name, Lifecycle.REMOVED)
-                await server.send_away()
+                await server.migrate_clients()
             case StepKind.RETURN:
                 await server.crash()
                 server.start()
@@ -246,17 +246,17 @@
             case StepKind.CRASH:
                 await server.crash()
 
-    async def _signal(self, process: SoakProcess, step: Step) -> None:
-        if process.name in self._replacing:
+    async def _apply_process_step(self, process: SoakProcess, step: Step) -> None:
+        if process.name in self._restarting:
             return
         match step.kind:
             case StepKind.RELOAD:
                 for _ in range(step.count):
-                    process.send(signal.SIGHUP)
+                    process.send_signal(signal.SIGHUP)
             case StepKind.STOP:
-                process.send(signal.SIGSTOP)
+                process.send_signal(signal.SIGSTOP)
                 await trio.sleep(step.seconds)
-                process.send(signal.SIGCONT)
+                process.send_signal(signal.SIGCONT)
             case StepKind.WALL_CLOCK:
                 process.set_wall_clock(step.seconds)
             case StepKind.SYSTEM_CALLS:
@@ -264,20 +264,20 @@
                 await trio.sleep(step.seconds)
                 process.set_system_call_fault(None)
             case StepKind.RESTART:
-                await self._replace(process, lambda: self._end(process))
+                await self._restart_process(process, lambda: self._stop_process(process))
             case StepKind.KILL:
-                process.send(signal.SIGKILL)
-                await self._replace(process, process.wait)
+                process.send_signal(signal.SIGKILL)
+                await self._restart_process(process, process.wait)
 
-    async def _replace(self, process: SoakProcess, end: Callable[[], object]) -> None:
-        self._replacing.add(process.name)
+    async def _restart_process(self, process: SoakProcess, stop: Callable[[], object]) -> None:
+        self._restarting.add(process.name)
         try:
-            await end()  # type: ignore[misc]
+            await stop()  # type: ignore[misc]
             await trio.sleep(RESTART_GAP_S)
-            self._start(process)
+            self._start_process(process)
             await process.wait_until_ready()
         finally:
-            self._replacing.discard(process.name)
+            self._restarting.discard(process.name)
 
 
 def _describe(step: Step) -> str:
--- a/walkloom/lab/soak/scenarios.py
+++ b/walkloom/lab/soak/scenarios.py
@@ -1,6 +1,6 @@
-"""Runs with a fixed schedule, each named after the fault that it plays. No I/O.
+"""Runs with a fixed schedule, each named after the fault that it injects. No I/O.
 
-In each discovery or the processes have a fault while half of the servers begin to drain
+In each run discovery or the processes have a fault while servers begin to drain, half of them in most runs
 (docs/incidents/2026-12-03-work-sent-to-draining-servers.md).
 """
 
@@ -17,12 +17,12 @@
 
 SERVER_COUNT = 8
 DRAINED = tuple(range(SERVER_COUNT // 2))
-FAULT_AT_S = 1.0
-# Where the order of a fault and the drain matters.
+FAULT_OFFSET_S = 1.0
+# Offset of a fault that must come before the drain.
 BEFORE_DRAIN_S = 0.1
-# All balancers have called once, however many there are.
+# By this time all balancers have polled once, however many there are.
 AFTER_FIRST_CALLS_S = 4.0
-# Late work shows within the longest pause that was seen.
+# Late requests to draining servers show within the longest observed pause, which is shorter than this.
 DURATION_S = 12.0
 
 
@@ -30,7 +30,7 @@
     *,
     balancer_count: int = 200,
     is_pushed: bool = False,
-    ask_within_ms: float = 10_000.0,
+    max_poll_interval_ms: float = 10_000.0,
     drain_grace_ms: float = 500.0,
 ) -> Deployment:
     return Deployment(
@@ -38,7 +38,7 @@
         process_count=3,
         server_count=SERVER_COUNT,
         is_pushed=is_pushed,
-        ask_within_ms=ask_within_ms,
+        max_poll_interval_ms=max_poll_interval_ms,
         drain_grace_ms=drain_grace_ms,
         longest_deadline_ms=1500,
         load_reports=False,
@@ -48,32 +48,35 @@
 
 
 def _plan(
-    deployment: Deployment, *steps: Step, drain_at: float = FAULT_AT_S, drained: tuple[int, ...] = DRAINED
+    deployment: Deployment,
+    *steps: Step,
+    drain_offset_s: float = FAULT_OFFSET_S,
+    drained: tuple[int, ...] = DRAINED,
 ) -> RunPlan:
-    drain = Step(drain_at, StepKind.DRAIN, servers=drained)
-    ordered = tuple(sorted((*steps, drain), key=lambda step: step.at))
+    drain = Step(drain_offset_s, StepKind.DRAIN, servers=drained)
+    ordered = tuple(sorted((*steps, drain), key=lambda step: step.offset_s))
     clients = schedules.draw_clients(1, deployment, DURATION_S)
     return RunPlan(deployment, Schedule(ordered, DURATION_S), tuple(clients))
 
 
-def _reset(at: float = FAULT_AT_S) -> Step:
-    return Step(at, StepKind.RESET_WATCHES)
+def _reset(offset_s: float = FAULT_OFFSET_S) -> Step:
+    return Step(offset_s, StepKind.RESET_WATCHES)
 
 
-def _silence(at: float = FAULT_AT_S) -> Step:
-    return Step(at, StepKind.SILENCE_WATCHES)
+def _silence(offset_s: float = FAULT_OFFSET_S) -> Step:
+    return Step(offset_s, StepKind.SILENCE_WATCHES)
 
 
-def _fail_calls(count: int, at: float = FAULT_AT_S) -> Step:
-    return Step(at, StepKind.FAIL_CALLS, count=count)
+def _fail_calls(count: int, offset_s: float = FAULT_OFFSET_S) -> Step:
+    return Step(offset_s, StepKind.FAIL_CALLS, count=count)
 
 
-def _mode(mode: DiscoveryMode, at: float = FAULT_AT_S) -> Step:
-    return Step(at, StepKind.DISCOVERY, discovery_mode=mode)
+def _mode(mode: DiscoveryMode, offset_s: float = FAULT_OFFSET_S) -> Step:
+    return Step(offset_s, StepKind.DISCOVERY, discovery_mode=mode)
 
 
-def _reload(at: float) -> Step:
-    return Step(at, StepKind.RELOAD, processes=(0, 1, 2), count=2)
+def _reload(offset_s: float) -> Step:
+    return Step(offset_s, StepKind.RELOAD, processes=(0, 1, 2), count=2)
 
 
 HEALTHY = DiscoveryMode.HEALTHY
@@ -82,16 +85,18 @@
     "watches_silent_and_one_call_failed": lambda: _plan(_deployment(), _silence(), _fail_calls(1)),
     "watches_reset_and_three_calls_failed": lambda: _plan(_deployment(), _reset(), _fail_calls(3)),
     "discovery_refuses_for_a_second": lambda: _plan(
-        _deployment(), _mode(DiscoveryMode.REFUSING), _mode(HEALTHY, FAULT_AT_S + 1.0)
+        _deployment(), _mode(DiscoveryMode.REFUSING), _mode(HEALTHY, FAULT_OFFSET_S + 1.0)
     ),
     "discovery_refuses_until_the_end": lambda: _plan(
-        _deployment(), _mode(DiscoveryMode.REFUSING, AFTER_FIRST_CALLS_S), drain_at=AFTER_FIRST_CALLS_S + 1.0
+        _deployment(),
+        _mode(DiscoveryMode.REFUSING, AFTER_FIRST_CALLS_S),
+        drain_offset_s=AFTER_FIRST_CALLS_S + 1.0,
     ),
     "discovery_unavailable_across_the_drain": lambda: _plan(
         _deployment(),
         _mode(DiscoveryMode.UNAVAILABLE),
-        _mode(HEALTHY, FAULT_AT_S + 4.0),
-        drain_at=FAULT_AT_S + 2.0,
+        _mode(HEALTHY, FAULT_OFFSET_S + 4.0),
+        drain_offset_s=FAULT_OFFSET_S + 2.0,
     ),
     "discovery_silent_from_the_drain_on": lambda: _plan(_deployment(), _mode(DiscoveryMode.SILENT)),
     "answers_cut_from_the_drain_on": lambda: _plan(_deployment(), _mode(DiscoveryMode.CUT)),
@@ -101,37 +106,39 @@
     "answers_trickle_and_watches_reset": lambda: _plan(
         _deployment(), _mode(DiscoveryMode.TRICKLING), _reset()
     ),
-    "a_short_time_for_asking": lambda: _plan(_deployment(ask_within_ms=3000.0), _reset(), _fail_calls(1)),
+    "a_short_time_for_asking": lambda: _plan(
+        _deployment(max_poll_interval_ms=3000.0), _reset(), _fail_calls(1)
+    ),
     "reload_while_calls_fail": lambda: _plan(
-        _deployment(), _reset(), _fail_calls(2), _reload(FAULT_AT_S + 0.3)
+        _deployment(), _reset(), _fail_calls(2), _reload(FAULT_OFFSET_S + 0.3)
     ),
     "a_small_fleet_and_six_failed_calls": lambda: _plan(
         _deployment(balancer_count=3), _reset(), _fail_calls(6)
     ),
     "pushed_list_and_six_failed_calls": lambda: _plan(_deployment(is_pushed=True), _reset(), _fail_calls(6)),
     "pushed_list_without_a_time_for_asking": lambda: _plan(
-        _deployment(is_pushed=True, ask_within_ms=0.0), _reset(), _fail_calls(6)
+        _deployment(is_pushed=True, max_poll_interval_ms=0.0), _reset(), _fail_calls(6)
     ),
     "pushed_watch_silent_and_then_the_agent_unavailable": lambda: _plan(
         _deployment(is_pushed=True),
-        _silence(FAULT_AT_S - BEFORE_DRAIN_S),
-        _mode(DiscoveryMode.UNAVAILABLE, FAULT_AT_S + 1.0),
-        _mode(HEALTHY, FAULT_AT_S + 9.0),
+        _silence(FAULT_OFFSET_S - BEFORE_DRAIN_S),
+        _mode(DiscoveryMode.UNAVAILABLE, FAULT_OFFSET_S + 1.0),
+        _mode(HEALTHY, FAULT_OFFSET_S + 9.0),
     ),
     "pushed_agent_silent_until_the_end": lambda: _plan(
         _deployment(is_pushed=True),
         _mode(DiscoveryMode.SILENT, AFTER_FIRST_CALLS_S),
         _reset(AFTER_FIRST_CALLS_S),
-        drain_at=AFTER_FIRST_CALLS_S + 0.5,
+        drain_offset_s=AFTER_FIRST_CALLS_S + 0.5,
     ),
     "processes_start_while_the_servers_drain": lambda: _plan(
         _deployment(),
-        Step(FAULT_AT_S - 0.5, StepKind.KILL, processes=(0, 1, 2)),
-        _fail_calls(1, FAULT_AT_S - 0.5),
+        Step(FAULT_OFFSET_S - 0.5, StepKind.KILL, processes=(0, 1, 2)),
+        _fail_calls(1, FAULT_OFFSET_S - 0.5),
     ),
     "all_servers_drain_while_the_processes_are_held_up": lambda: _plan(
         replace(_deployment(balancer_count=3), request_rate=150.0),
-        Step(FAULT_AT_S - 0.01, StepKind.STOP, processes=(0, 1, 2), seconds=MAX_STOP_S),
+        Step(FAULT_OFFSET_S - 0.01, StepKind.STOP, processes=(0, 1, 2), seconds=MAX_STOP_S),
         drained=tuple(range(SERVER_COUNT)),
     ),
     "only_silence": lambda: _plan(_deployment(), _silence()),
--- a/walkloom/lab/soak/schedule.py
+++ b/walkloom/lab/soak/schedule.py
@@ -1,4 +1,4 @@
-"""The faults of a run, drawn from its seed up front: what happens when. No I/O."""
+"""The fault schedule and the clients of a run, drawn from its seed in advance. No I/O."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from enum import Enum
 from random import Random
 
-from walkloom.lab.soak.client import ClientConduct, ClientPlan
+from walkloom.lab.soak.client import ClientBehaviour, ClientPlan
 from walkloom.lab.soak.deployment import Deployment
 from walkloom.lab.soak.discovery import PUSHED_DOWN_MODES, DiscoveryMode
 from walkloom.lab.soak.process import SystemCallFault
 from walkloom.lab.soak.server import ServerMode
 
-# What a run has before its first fault, and after its last.
-QUIET_S = 2.0
-# A drain can be notified this late, so that a run goes on so long after the last one.
+# A run begins with this time without faults.
+FAULT_FREE_S = 2.0
+# A drain may count as notified only this late, so a run continues this long after its drain.
 SETTLE_S = 8.0
 MAX_STOP_S = 0.15
-# The share of asked runs in which discovery is of no use across a drain, and for how long.
+# The share of polled runs in which discovery gives no usable answer across a drain, and the duration.
 LONG_FAULT_SHARE = 0.4
 LONG_FAULT_S = 10.0
 # The share of runs in which all servers drain.
@@ -27,11 +27,11 @@
 
 
 class StepKind(Enum):
-    """What a step does; the comment says what its fields mean."""
+    """What a step does; the comments name the fields of Step that it uses."""
 
     DRAIN = "drain"  # servers
-    LEAVE = "leave"  # servers: they send their clients away, and are removed
-    RETURN = "return"  # servers: they start again, and are ready
+    LEAVE = "leave"  # servers: send MOVE to their clients and are removed
+    RETURN = "return"  # servers: start again and are ready
     DISCOVERY = "discovery"  # discovery_mode
     RESET_WATCHES = "reset_watches"
     SILENCE_WATCHES = "silence_watches"
@@ -40,7 +40,7 @@
     SERVER_MODE = "server_mode"  # servers, server_mode
     RESET_SERVER = "reset_server"  # servers
     CRASH = "crash"  # servers
-    RESTART = "restart"  # processes: SIGTERM, SIGKILL at the earliest, a new process
+    RESTART = "restart"  # processes: SIGTERM, SIGKILL after the shortest delay, a new process
     KILL = "kill"  # processes: SIGKILL, a new process
     RELOAD = "reload"  # processes: SIGHUP, count times
     STOP = "stop"  # processes: SIGSTOP, SIGCONT after seconds
@@ -48,7 +48,7 @@
     SYSTEM_CALLS = "system_calls"  # processes, system_call_fault for seconds
 
 
-# What Linux documents for the calls of a server, beside those that the socket module retries by itself.
+# Errors that Linux documents for a server's system calls, except those that the socket module retries itself.
 _SYSTEM_CALL_FAULTS = (
     ("accept", errno.ECONNABORTED),
     ("accept", errno.EMFILE),
@@ -68,14 +68,14 @@
     ("recv", "short"),
 )
 
-_SIGNALS = (StepKind.RESTART, StepKind.KILL, StepKind.RELOAD, StepKind.STOP, StepKind.WALL_CLOCK)
+_PROCESS_STEPS = (StepKind.RESTART, StepKind.KILL, StepKind.RELOAD, StepKind.STOP, StepKind.WALL_CLOCK)
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One fault, at a time after the first request (seconds)."""
+    """One step of a run, `offset_s` seconds after its start."""
 
-    at: float
+    offset_s: float
     kind: StepKind
     servers: tuple[int, ...] = ()
     processes: tuple[int, ...] = ()
@@ -88,134 +88,136 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """The steps of a run, and how long requests come."""
+    """The steps of a run, and for how long requests are sent."""
 
     steps: tuple[Step, ...]
     duration_s: float
 
 
 def draw(seed: int, deployment: Deployment, fault_count: int = 10) -> Schedule:
-    """Return the schedule of a seed: drains, and faults right before, during and after them."""
+    """Return the schedule of a seed: a drain, and faults right before, during and after it."""
     random = Random(f"schedule/{seed}")
     servers = list(range(deployment.server_count))
     drains_all = random.random() < DRAINS_ALL_SHARE
     drained = tuple(random.sample(servers, len(servers) if drains_all else max(len(servers) // 2, 1)))
-    drain_at = QUIET_S + random.uniform(0.5, 5.0)
-    steps = [Step(drain_at, StepKind.DRAIN, servers=drained)]
+    drain_offset_s = FAULT_FREE_S + random.uniform(0.5, 5.0)
+    steps = [Step(drain_offset_s, StepKind.DRAIN, servers=drained)]
     if random.random() < 0.5:
-        steps.append(Step(drain_at + random.uniform(2.0, 9.0), StepKind.LEAVE, servers=drained))
-        steps.append(Step(drain_at + random.uniform(9.0, 11.0), StepKind.RETURN, servers=drained))
+        steps.append(Step(drain_offset_s + random.uniform(2.0, 9.0), StepKind.LEAVE, servers=drained))
+        steps.append(Step(drain_offset_s + random.uniform(9.0, 11.0), StepKind.RETURN, servers=drained))
     if not deployment.is_pushed and random.random() < LONG_FAULT_SHARE:
-        steps += _draw_long_fault(random, drain_at)
+        steps += _draw_long_fault(random, drain_offset_s)
     healthy = [server for server in servers if server not in drained] or servers
     for _ in range(fault_count):
-        at = max(drain_at + random.uniform(-3.0, 5.0), QUIET_S)
-        steps += _draw_fault(random, at, healthy, deployment)
-    steps.sort(key=lambda step: step.at)
-    return Schedule(tuple(steps), duration_s=drain_at + SETTLE_S + 6.0)
+        offset_s = max(drain_offset_s + random.uniform(-3.0, 5.0), FAULT_FREE_S)
+        steps += _draw_fault(random, offset_s, healthy, deployment)
+    steps.sort(key=lambda step: step.offset_s)
+    return Schedule(tuple(steps), duration_s=drain_offset_s + SETTLE_S + 6.0)
 
 
-def _draw_long_fault(random: Random, drain_at: float) -> list[Step]:
-    """Discovery says nothing that can be used from right before a drain until long after it counts."""
+def _draw_long_fault(random: Random, drain_offset_s: float) -> list[Step]:
+    """Discovery gives no usable answer from right before a drain until long after it counts as notified."""
     mode = random.choice([DiscoveryMode.SILENT, DiscoveryMode.CUT])
-    at = drain_at - random.uniform(0.0, 0.5)
+    offset_s = drain_offset_s - random.uniform(0.0, 0.5)
     return [
-        Step(at, StepKind.DISCOVERY, discovery_mode=mode),
-        Step(at + LONG_FAULT_S, StepKind.DISCOVERY, discovery_mode=DiscoveryMode.HEALTHY),
+        Step(offset_s, StepKind.DISCOVERY, discovery_mode=mode),
+        Step(offset_s + LONG_FAULT_S, StepKind.DISCOVERY, discovery_mode=DiscoveryMode.HEALTHY),
     ]
 
 
-def _draw_fault(random: Random, at: float, healthy: list[int], deployment: Deployment) -> list[Step]:
+def _draw_fault(random: Random, offset_s: float, healthy: list[int], deployment: Deployment) -> list[Step]:
     """Draw one fault and its end."""
     kind = random.choice(["discovery", "watch", "watch", "server", "signal", "system call"])
     if kind == "discovery":
-        return _draw_discovery_outage(random, at, deployment.is_pushed)
+        return _draw_discovery_outage(random, offset_s, deployment.is_pushed)
     if kind == "watch":
-        return _draw_watch_fault(random, at)
+        return _draw_watch_fault(random, offset_s)
     if kind == "server":
-        return _draw_server_fault(random, at, healthy)
+        return _draw_server_fault(random, offset_s, healthy)
     if kind == "system call":
-        return _draw_system_call_fault(random, at, deployment.process_count)
-    return _draw_signal(random, at, deployment.process_count)
+        return _draw_system_call_fault(random, offset_s, deployment.process_count)
+    return _draw_process_fault(random, offset_s, deployment.process_count)
 
 
-def _draw_discovery_outage(random: Random, at: float, is_pushed: bool) -> list[Step]:
+def _draw_discovery_outage(random: Random, offset_s: float, is_pushed: bool) -> list[Step]:
     modes = [mode for mode in DiscoveryMode if mode is not DiscoveryMode.HEALTHY]
     mode = random.choice(list(PUSHED_DOWN_MODES) if is_pushed else modes)
     duration_s = random.choice([0.2, 1.0, 2.5, 5.0, 8.0])
     return [
-        Step(at, StepKind.DISCOVERY, discovery_mode=mode),
-        Step(at + duration_s, StepKind.DISCOVERY, discovery_mode=DiscoveryMode.HEALTHY),
+        Step(offset_s, StepKind.DISCOVERY, discovery_mode=mode),
+        Step(offset_s + duration_s, StepKind.DISCOVERY, discovery_mode=DiscoveryMode.HEALTHY),
     ]
 
 
-def _draw_watch_fault(random: Random, at: float) -> list[Step]:
+def _draw_watch_fault(random: Random, offset_s: float) -> list[Step]:
     kind = random.choice([StepKind.RESET_WATCHES, StepKind.SILENCE_WATCHES, StepKind.SNAPSHOTS])
-    steps = [Step(at, kind)]
+    steps = [Step(offset_s, kind)]
     if kind is not StepKind.SNAPSHOTS and random.random() < 0.5:
-        steps.append(Step(at, StepKind.FAIL_CALLS, count=random.randint(1, 3)))
+        steps.append(Step(offset_s, StepKind.FAIL_CALLS, count=random.randint(1, 3)))
     return steps
 
 
-def _draw_server_fault(random: Random, at: float, servers: list[int]) -> list[Step]:
+def _draw_server_fault(random: Random, offset_s: float, servers: list[int]) -> list[Step]:
     chosen = (random.choice(servers),)
     if random.random() < 0.3:
         return [
-            Step(at, StepKind.CRASH, servers=chosen),
-            Step(at + random.uniform(1.0, 4.0), StepKind.RETURN, servers=chosen),
+            Step(offset_s, StepKind.CRASH, servers=chosen),
+            Step(offset_s + random.uniform(1.0, 4.0), StepKind.RETURN, servers=chosen),
         ]
     if random.random() < 0.3:
-        return [Step(at, StepKind.RESET_SERVER, servers=chosen)]
+        return [Step(offset_s, StepKind.RESET_SERVER, servers=chosen)]
     mode = random.choice([mode for mode in ServerMode if mode is not ServerMode.HEALTHY])
     return [
-        Step(at, StepKind.SERVER_MODE, servers=chosen, server_mode=mode),
-        Step(at + random.uniform(0.5, 4.0), StepKind.SERVER_MODE, servers=chosen),
+        Step(offset_s, StepKind.SERVER_MODE, servers=chosen, server_mode=mode),
+        Step(offset_s + random.uniform(0.5, 4.0), StepKind.SERVER_MODE, servers=chosen),
     ]
 
 
-def _draw_signal(random: Random, at: float, process_count: int) -> list[Step]:
+def _draw_process_fault(random: Random, offset_s: float, process_count: int) -> list[Step]:
     chosen = (random.randrange(process_count),)
-    kind = random.choice(_SIGNALS)
+    kind = random.choice(_PROCESS_STEPS)
     if kind is StepKind.RELOAD:
-        return [Step(at, kind, processes=chosen, count=random.randint(1, 4))]
+        return [Step(offset_s, kind, processes=chosen, count=random.randint(1, 4))]
     if kind is StepKind.STOP:
-        return [Step(at, kind, processes=chosen, seconds=random.uniform(0.02, MAX_STOP_S))]
+        return [Step(offset_s, kind, processes=chosen, seconds=random.uniform(0.02, MAX_STOP_S))]
     if kind is StepKind.WALL_CLOCK:
-        return [Step(at, kind, processes=chosen, seconds=random.choice([-3600.0, -5.0, 5.0, 3600.0]))]
-    return [Step(at, kind, processes=chosen)]
+        return [Step(offset_s, kind, processes=chosen, seconds=random.choice([-3600.0, -5.0, 5.0, 3600.0]))]
+    return [Step(offset_s, kind, processes=chosen)]
 
 
-def _draw_system_call_fault(random: Random, at: float, process_count: int) -> list[Step]:
-    call, what = random.choice(_SYSTEM_CALL_FAULTS)
-    fault = SystemCallFault(call, str(what), share=random.choice([0.1, 0.5, 1.0]))
+def _draw_system_call_fault(random: Random, offset_s: float, process_count: int) -> list[Step]:
+    call, error = random.choice(_SYSTEM_CALL_FAULTS)
+    fault = SystemCallFault(call, str(error), share=random.choice([0.1, 0.5, 1.0]))
     seconds = random.uniform(0.1, 0.8)
     chosen = (random.randrange(process_count),)
-    return [Step(at, StepKind.SYSTEM_CALLS, processes=chosen, seconds=seconds, system_call_fault=fault)]
+    return [Step(offset_s, StepKind.SYSTEM_CALLS, processes=chosen, seconds=seconds, system_call_fault=fault)]
 
 
 def draw_clients(seed: int, deployment: Deployment, duration_s: float) -> list[ClientPlan]:
-    """Return the clients of a run, in the order of their times."""
+    """Return the clients of a run, ordered by their offsets."""
     random = Random(f"clients/{seed}")
     plans: list[ClientPlan] = []
-    at = 0.0
-    while at < duration_s:
-        at += random.expovariate(deployment.request_rate)
-        plans.append(_draw_client(random, at, deployment, len(plans)))
+    offset_s = 0.0
+    while offset_s < duration_s:
+        offset_s += random.expovariate(deployment.request_rate)
+        plans.append(_draw_client(random, offset_s, deployment, len(plans)))
     if deployment.has_crowd:
-        crowd_at = random.uniform(QUIET_S, QUIET_S + 5.0)
+        crowd_offset_s = random.uniform(FAULT_FREE_S, FAULT_FREE_S + 5.0)
         for number in range(CROWD_SIZE):
-            plan = _draw_client(random, crowd_at + number * 0.002, deployment, len(plans))
-            plans.append(_with_conduct(plan, ClientConduct.IDLE))
-    return sorted(plans, key=lambda plan: plan.at)
+            plan = _draw_client(random, crowd_offset_s + number * 0.002, deployment, len(plans))
+            plans.append(_with_behaviour(plan, ClientBehaviour.IDLE))
+    return sorted(plans, key=lambda plan: plan.offset_s)
 
 
-def _draw_client(random: Random, at: float, deployment: Deployment, number: int) -> ClientPlan:
+def _draw_client(random: Random, offset_s: float, deployment: Deployment, number: int) -> ClientPlan:
     request_class = random.choice(deployment.classes)
-    conduct = ClientConduct.ORDINARY
+    behaviour = ClientBehaviour.ORDINARY
     if random.random() < 0.15:
-        conduct = random.choice([conduct for conduct in ClientConduct if conduct is not ClientConduct.IDLE])
+        behaviour = random.choice(
+            [behaviour for behaviour in ClientBehaviour if behaviour is not ClientBehaviour.IDLE]
+        )
     return ClientPlan(
-        at=at,
+        offset_s=offset_s,
         balancer=f"n{random.randrange(deployment.process_count)}",
         request=f"{number + 1:016x}",
         request_class=request_class.name,
@@ -223,9 +225,9 @@
         group=random.randint(1, 12),
         lifetime_s=random.uniform(1.0, 12.0),
         leave_after_s=random.uniform(0.0, 0.3),
-        conduct=conduct,
+        behaviour=behaviour,
     )
 
 
-def _with_conduct(plan: ClientPlan, conduct: ClientConduct) -> ClientPlan:
-    return replace(plan, conduct=conduct)
+def _with_behaviour(plan: ClientPlan, behaviour: ClientBehaviour) -> ClientPlan:
+    return replace(plan, behaviour=behaviour)
--- a/walkloom/lab/soak/server.py
+++ b/walkloom/lab/soak/server.py
@@ -1,4 +1,4 @@
-"""A stand-in of a tile server that records the first byte of each attempt, with faults on request."""
+"""A stand-in for a server that records the first byte of each attempt, with faults on demand."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 from walkloom.lab.soak.hosts import LoopbackHost
 from walkloom.transport.line_stream import RESET_ON_CLOSE, LineError, LineStream
 
-SETUP_S = 0.004
-REPORT = b"PONG served_ps=1,busy_reqs=%d,x0=%.3f\r\n"
-# So many connections fill a server.
+SETUP_DURATION_S = 0.004
+LOAD_REPORT = b"PONG served_ps=1,busy_reqs=%d,x0=%.3f\r\n"
+# The number of connections at which a server reports full load.
 CAPACITY = 400
 RECEIVE_BYTES = 4096
-# Attempts are numbered over all servers.
+# Attempt numbers are unique across all servers.
 _attempt_numbers = count(1)
 
 
 class ServerMode(Enum):
-    """What a server does with request lines."""
+    """How a server handles request lines."""
 
     HEALTHY = "healthy"
     FAILING = "failing"
@@ -39,15 +39,15 @@
     RESETTING = "resetting"
     HALF_ANSWER = "half_answer"
     ENDLESS_ANSWER = "endless_answer"
-    # Established connections get no line back.
+    # Lines on established connections are not returned.
     MUTE = "mute"
 
 
 class RecordingServer:
-    """One server on loopback; its port stays the same over restarts."""
+    """One server on loopback; its port stays the same across restarts."""
 
     def __init__(self, name: str, host: LoopbackHost, history: History, nursery: trio.Nursery) -> None:
-        """Its tasks run in the nursery; it listens on the host."""
+        """The server's tasks run in the nursery; it listens on the host."""
         self.name = name
         self._host = host
         self.mode = ServerMode.HEALTHY
@@ -57,7 +57,7 @@
         self._nursery = nursery
         self._listener: trio.SocketListener | None = None
         self._streams: set[trio.SocketStream] = set()
-        # Those that this server has reset.
+        # Connections that this server has reset.
         self._reset_streams: set[trio.SocketStream] = set()
         self._established: dict[int, LineStream] = {}
 
@@ -67,28 +67,28 @@
         return f"{self._host.address}:{self.port}"
 
     def start(self) -> None:
-        """Listen, after a crash on the same port."""
+        """Listen on the port; after a crash it is the same port."""
         sock = socket.create_server((self._host.address, self.port), backlog=128)
         self._listener = trio.SocketListener(trio.socket.from_stdlib_socket(sock))
         self._nursery.start_soon(self._accept, self._listener)
 
     async def crash(self) -> None:
-        """Refuse connections from now on, and reset the open ones."""
+        """Refuse new connections and reset the open ones."""
         if self._listener:
             await self._listener.aclose()
             self._listener = None
         await self.reset_connections()
 
     async def reset_connections(self) -> None:
-        """Reset what is open, and go on serving."""
+        """Reset all open connections, and keep serving new ones."""
         for stream in list(self._streams):
             self._reset_streams.add(stream)
             with suppress(OSError):
                 stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             await trio.aclose_forcefully(stream)
 
-    async def send_away(self) -> None:
-        """Ask all clients to move, as a server does before it leaves."""
+    async def migrate_clients(self) -> None:
+        """Send MOVE to all clients, as a server does before it is removed."""
         for attempt, lines in list(self._established.items()):
             with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
                 await lines.send(b"MOVE\r\n")
@@ -111,8 +111,8 @@
                 first_byte_at = trio.current_time()
                 line = await lines.read_line()
                 if line.startswith((b"PING", b"STATS")):
-                    held = len(self._established)
-                    await lines.send(REPORT % (held, held / CAPACITY))
+                    established_count = len(self._established)
+                    await lines.send(LOAD_REPORT % (established_count, established_count / CAPACITY))
                     continue
                 attempt = next(_attempt_numbers)
                 self._history.add(AttemptBegan(first_byte_at, self.name, attempt))
@@ -132,9 +132,9 @@
         request = words[1].decode() if len(words) > 1 else ""
         self._history.add(AttemptNamed(trio.current_time(), attempt, request))
         if self.mode not in (ServerMode.HEALTHY, ServerMode.MUTE):
-            await self._spoil(lines, attempt)
+            await self._serve_with_fault(lines, attempt)
             return
-        if await _left_within(lines, SETUP_S):
+        if await _is_closed_within(lines, SETUP_DURATION_S):
             self._history.add(AttemptEnded(trio.current_time(), attempt, AttemptEnd.ABANDONED))
             return
         self._history.add(AttemptEnded(trio.current_time(), attempt, AttemptEnd.ESTABLISHED))
@@ -144,7 +144,7 @@
             if self.mode is not ServerMode.MUTE:
                 await lines.send(data)
 
-    async def _spoil(self, lines: LineStream, attempt: int) -> None:
+    async def _serve_with_fault(self, lines: LineStream, attempt: int) -> None:
         match self.mode:
             case ServerMode.FAILING:
                 self._history.add(AttemptEnded(trio.current_time(), attempt, AttemptEnd.ERROR))
@@ -156,11 +156,11 @@
                 self._history.add(AttemptEnded(trio.current_time(), attempt, AttemptEnd.RESET))
                 await lines.send(b"UP 12")
             case ServerMode.ENDLESS_ANSWER:
-                while not await _left_within(lines, 0.05):
+                while not await _is_closed_within(lines, 0.05):
                     await lines.send(b"U" * 64)
                 self._history.add(AttemptEnded(trio.current_time(), attempt, AttemptEnd.ABANDONED))
             case _:
-                await _left_within(lines, math.inf)
+                await _is_closed_within(lines, math.inf)
                 self._history.add(AttemptEnded(trio.current_time(), attempt, AttemptEnd.ABANDONED))
 
     def _end_established(self, attempt: int, *, by_server: bool) -> None:
@@ -168,8 +168,8 @@
             self._history.add(ServerConnectionEnded(trio.current_time(), attempt, by_server))
 
 
-async def _left_within(lines: LineStream, seconds: float) -> bool:
-    """Wait that long; True at once where the other side ends or breaks the connection."""
+async def _is_closed_within(lines: LineStream, seconds: float) -> bool:
+    """Wait for `seconds`; return True as soon as the peer closes or resets the connection, else False."""
     with trio.move_on_after(seconds):
         while await lines.wait_for_input():
             pass
--- a/walkloom/lab/soak/shim/sitecustomize.py
+++ b/walkloom/lab/soak/shim/sitecustomize.py
@@ -1,8 +1,8 @@
-"""Faults of the machine, for one process: its interpreter loads this from a PYTHONPATH of its own.
+"""Injects machine faults into one process, whose interpreter loads this module through its PYTHONPATH.
 
-Two files say what is wrong now. SOAK_WALL_CLOCK: by how many seconds the wall clock is off.
-SOAK_SYSTEM_CALLS: lines of a call (accept, connect, send, recv, socket), the number of an error or "short",
-and the share of the calls that it concerns. The monotonic clock stays as it is.
+Two environment variables name files that hold the current faults. SOAK_WALL_CLOCK: the offset of the wall
+clock in seconds. SOAK_SYSTEM_CALLS: lines of a call (accept, connect, send, recv, socket), an errno number or
+"short", and the share of these calls that fail. The monotonic clock is not changed.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import time
 from typing import Any
 
-LOOK_INTERVAL_S = 0.02
+READ_INTERVAL_S = 0.02
 SHORT = "short"
 SHORT_BYTES = 7
 
@@ -21,34 +21,34 @@
 
 
 class _Faults:
-    """The faults of system calls that hold now, read anew at intervals."""
+    """The current faults of system calls; the file is read again at intervals."""
 
     def __init__(self, path: str) -> None:
         self._path = path
-        self._looked_at = 0.0
+        self._read_at = 0.0
         self._by_call: dict[str, tuple[str, float]] = {}
         self._random = random.Random(path)
 
     def apply(self, call: str) -> bool:
-        """Raise the error that this call is to fail with; return whether it is to be a short one."""
+        """Raise the OSError that this call must fail with; return whether to limit it to a few bytes."""
         now = time.monotonic()
-        if now - self._looked_at > LOOK_INTERVAL_S:
-            self._looked_at = now
+        if now - self._read_at > READ_INTERVAL_S:
+            self._read_at = now
             self._read()
-        what, share = self._by_call.get(call, ("", 0.0))
+        error, share = self._by_call.get(call, ("", 0.0))
         if self._random.random() >= share:
             return False
-        if what == SHORT:
+        if error == SHORT:
             return True
-        raise OSError(int(what), os.strerror(int(what)))
+        raise OSError(int(error), os.strerror(int(error)))
 
     def _read(self) -> None:
         self._by_call = {}
         try:
             with open(self._path, encoding="ascii") as file:
                 for line in file:
-                    call, what, share = line.split()
-                    self._by_call[call] = (what, float(share))
+                    call, error, share = line.split()
+                    self._by_call[call] = (error, float(share))
         except (OSError, ValueError):
             return
 
@@ -56,8 +56,8 @@
 _faults = _Faults(os.environ.get("SOAK_SYSTEM_CALLS", ""))
 
 
-class _SpoiltSocket(socket.socket):
-    """A socket some of whose calls fail."""
+class _FaultySocket(socket.socket):
+    """A socket whose calls fail as the faults require."""
 
     __slots__ = ()
 
@@ -96,4 +96,4 @@
 if "SOAK_WALL_CLOCK" in os.environ:
     time.time = _stepped_time
 if "SOAK_SYSTEM_CALLS" in os.environ:
-    socket.socket = _SpoiltSocket  # type: ignore[misc]
+    socket.socket = _FaultySocket  # type: ignore[misc]
--- a/walkloom/lab/soak/violation.py
+++ b/walkloom/lab/soak/violation.py
@@ -1,4 +1,4 @@
-"""A broken rule."""
+"""A violation of a rule."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken rule: `at` is when, `bound` when it had to be over (seconds of the history's clock)."""
+    """One violation: `at` is when it occurred, `bound` the time limit (seconds on the history's clock)."""
 
     rule: str
     balancer: str
-    # "-" where it is about a process.
+    # "-" where the violation concerns a process.
     request: str
     at: float
     bound: float
