--- a/tests/lab/test_stale_list.py
+++ b/tests/lab/test_stale_list.py
@@ -1,4 +1,4 @@
-"""Real balancer processes whose list is stale, as discovery fails while servers begin to drain."""
+"""Real balancer processes whose endpoint list is stale: discovery fails while servers begin to drain."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from walkloom.lab.soak.runner import RunResult, play
 from walkloom.lab.soak.scenarios import SCENARIOS
 
-# Runs at a time: each has three balancers, and a process of its own for the stand-ins.
+# Runs at a time; each has three balancer processes and one process for the stand-ins.
 CONCURRENT_RUNS = 6
 
-# Runs in which discovery is seen to be down.
+# Scenarios in which balancers can detect that discovery is down.
 DISCOVERY_IS_DOWN = ("discovery_refuses_until_the_end", "pushed_agent_silent_until_the_end")
 
 
@@ -24,7 +24,7 @@
 
 @pytest.fixture(scope="module")
 def results(request: pytest.FixtureRequest) -> dict[str, RunResult]:
-    """The runs of all scenarios that were chosen, played at the same time."""
+    """The results of all selected scenarios, run in parallel."""
     names = " ".join(item.name for item in request.session.items)
     chosen = [name for name in SCENARIOS if f"[{name}]" in names]
     with ProcessPoolExecutor(CONCURRENT_RUNS) as executor:
--- a/tests/soak_plants/__init__.py
+++ b/tests/soak_plants/__init__.py
@@ -1,1 +1,1 @@
-"""Checks the soak itself: faults are planted in a copy of the program, one each, and have to be found."""
+"""Checks the soak test itself: each fault is planted in its own copy of the program and must be found."""
