--- a/benchmarks/client/viewers.py
+++ b/benchmarks/client/viewers.py
@@ -22,7 +22,7 @@
 START_INTERVAL_S = 0.01  # between the first requests of successive viewers
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 5.0
-MIN_PAUSE_S = 0.002  # without any pause the speed of this process would be measured
+MIN_PAUSE_S = 0.002  # keeps the speed of this process from determining the number of attempts
 REOPEN_PAUSE_S = 0.2  # after the end of a session, for viewers with the library
 AFFINITY_GROUP_COUNT = 60
 
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -42,8 +42,8 @@
 RETRY_DELAY_S = 0.05  # after a rejection, while idle connections are established
 RESERVED_DESCRIPTORS = 1000  # for everything that is not a connection
 DESCRIPTORS_PER_CONNECTION = 2  # a client connection and an upstream connection
-GROUP_COUNT = 1000
-BALANCER_ID_OFFSET = 1 << 40  # keeps request ids of the two routes distinct
+AFFINITY_GROUP_COUNT = 1000
+BALANCER_REQUEST_ID_OFFSET = 1 << 40  # keeps request ids of the two routes distinct
 REQUEST_LINE = "OPEN {0:016x} {0:016x} c=tile-view,t=herb-serra,d=1200,g={1:x}\r\n"
 
 
@@ -104,8 +104,8 @@
         self.request_count += 1
         host, _, port = self.addresses[self.request_count % len(self.addresses)].rpartition(":")
         line_stream = LineStream(await trio.open_tcp_stream(host, int(port)))
-        request_id = self.request_count + (BALANCER_ID_OFFSET if self.balancer else 0)
-        group = self.request_count % GROUP_COUNT + 1
+        request_id = self.request_count + (BALANCER_REQUEST_ID_OFFSET if self.balancer else 0)
+        group = self.request_count % AFFINITY_GROUP_COUNT + 1
         await line_stream.send(REQUEST_LINE.format(request_id, group).encode())
         if (await line_stream.read_line()).startswith(b"UP"):
             return line_stream
@@ -240,6 +240,7 @@
     async with trio.open_nursery() as nursery:
         balancer = await Fleet(nursery).start_balancer_process(
             "n0",
+            # One more for each connection, so that the descriptors that a balancer reserves do not limit it.
             sockets=(DESCRIPTORS_PER_CONNECTION + 1) * max_connections,
             registry=RegistrySource(discovery, known_endpoints),
             load_reports_available=False,
@@ -268,12 +269,12 @@
 def format_table(results: Results) -> list[str]:
     """Return the results as lines of Markdown."""
     return [
-        "| | direct, a second | balancer, a second | ratio | balancer's CPU for each |",
+        "| | direct, per second | balancer, per second | ratio | balancer's CPU per operation |",
         "|---|---|---|---|---|",
         _rate_row(results, "set-ups", "ms"),
         _rate_row(results, "lines", "us"),
         "",
-        "| idle connections | KiB for each | cores |",
+        "| idle connections | KiB per connection | cores |",
         "|---|---|---|",
         *_idle_rows(results.idle),
     ]
--- a/benchmarks/registry_crowd.py
+++ b/benchmarks/registry_crowd.py
@@ -85,11 +85,15 @@
 class FleetSizeBackoff(RetryPolicy):
     """Backoff by the fleet size: walkloom's policy before the incident with an overloaded registry.
 
-    It starts at 250 ms for each balancer, less 2 s, at most 8 s; the jitter is a factor of 0.5 to 1.5.
+    The first delay is 250 ms times the number of balancers, minus 2 s; it is at least 0.2 s and at most 8 s.
+    The jitter is a factor of 0.5 to 1.5.
     """
 
     def retry_delay_s(self, now_s: float, waited_s: float) -> float:
-        """Return the delay, which doubles up to 16 s."""
+        """Return the delay, which doubles up to twice the first one, or to a quarter of the poll interval.
+
+        The larger of the two counts; it is at most 16 s, before the jitter.
+        """
         queue_s = min(max(self.balancer_count * 0.25 - 2.0, 0.0), 8.0)
         max_backoff_s = max(MAX_POLL_INTERVAL_MS / 4000.0, 2.0 * queue_s)
         backoff_s = min(max(0.2, queue_s) * 2 ** (self.failures - 1), max_backoff_s)
@@ -213,10 +217,10 @@
     "at once": ImmediateRetry,
     "backoff to 10 s": ExponentialBackoff,
     "250 ms a balancer (before)": FleetSizeBackoff,
-    "rest of the time": RemainingTimeJitter,
+    "jitter over the remaining time": RemainingTimeJitter,
     "lease (now)": ListLease,
-    "lease, no call seen": ListLeaseUnmeasured,
-    "lease, 5 ms seen": ListLeaseUnderestimating,
+    "lease, no call measured": ListLeaseUnmeasured,
+    "lease, 5 ms measured": ListLeaseUnderestimating,
 }
 
 
@@ -224,7 +228,7 @@
     """Print a table for watches that are reset, and one for watches that fall silent."""
     for watches_silent in (False, True):
         print(f"\nwatches {'fall silent' if watches_silent else 'are reset'}\n")
-        print("| policy | balancers | ms a call | in time | last s | calls | refused s |")
+        print("| policy | balancers | ms per call | in time | last s | calls | rejecting s |")
         print("|" + "---|" * 7)
         for name, create_policy in POLICIES.items():
             for fleet_size in FLEET_SIZES:
--- a/tests/client/test_reconnects.py
+++ b/tests/client/test_reconnects.py
@@ -65,14 +65,15 @@
     harness = CoreHarness(return_for_ms=30_000, retry_reserve=5)
     session = harness.open_established()
     harness.end_connection(session)
-    drained_at = harness.now
+    disconnected_at = harness.now
     while session.state is not SessionState.CLOSED:
         if session.state is SessionState.CONNECTING:
             harness.answer(session, "ERR")
         harness.advance(10)
-    assert isinstance(session.error, Failed) and 30_000 <= harness.now - drained_at <= 31_500
+    assert isinstance(session.error, Failed) and 30_000 <= harness.now - disconnected_at <= 31_500
     assert harness.core.figures().counters.lost == 1
-    # the reserve of 5, for each of the four budget windows that 30 s can touch
+    # the initial connection and the first reconnect, which are not retries, and the reserve of 5 for each of
+    # the four budget windows that 30 s can touch
     assert len(harness.connects) <= 2 + 5 * 4
 
 
@@ -94,4 +95,5 @@
         for session in [s for s in sessions if s.state is SessionState.CONNECTING]:
             harness.answer(session, "UP 1")
     assert all(s.state is SessionState.ESTABLISHED for s in sessions)
+    # 50 initial connections, 50 reconnects with a retry share of 0.1, and a retry reserve of 10
     assert len(harness.connects) < 50 + 50 * 1.1 + 10
--- a/tests/lab/test_simulator.py
+++ b/tests/lab/test_simulator.py
@@ -82,6 +82,7 @@
     def on_action(self, balancer: int, action: Action) -> None:
         if isinstance(action, StartAttempt) and not self.fault_injected:
             unready = self.simulator.rules.unready_endpoints(balancer)
+            # 600 ms is past the drain grace of 500 ms.
             drained = [i for i, since_ms in unready.items() if self.simulator.queue.now_ms > since_ms + 600.0]
             if self.fault == "late" and drained:
                 self.fault_injected = True
--- a/tests/test_rare.py
+++ b/tests/test_rare.py
@@ -37,7 +37,7 @@
 IDEMPOTENT_WITH_KEY = (
     RequestClass(latency_objective_ms=500.0, idempotency=Idempotency.WITH_KEY, deduplication_window_ms=300.0),
 )
-# A longest deadline under 3 s; a longer one than 3 s does not delay SIGKILL further.
+# SIGKILL comes later for a longer deadline, up to a deadline of 3 s; this one is shorter.
 SHORT_DEADLINE_MS = 1100.0
 OPEN_WITH_SHORT_DEADLINE = OPEN.replace("d=2000", "d=1100")
 OTHER_OPEN_WITH_SHORT_DEADLINE = OTHER_OPEN.replace("d=2000", "d=1100")
--- a/walkloom/discovery/watcher.py
+++ b/walkloom/discovery/watcher.py
@@ -28,8 +28,8 @@
 log = logging.getLogger("walkloom")
 
 # How long a call may take; discovery may hold it for 2 s of this time. A change that a silent watch misses
-# counts as received 6 s after the watch fell silent. The time that this limit leaves until then is for the
-# queue of all balancers that call again.
+# counts as received 6 s after the watch fell silent. The time that remains until then lets discovery answer
+# the queued calls of all balancers that reopen their watches.
 CALL_TIMEOUT_S = 3.8
 
 # Upper limit of the time in which the agent of a pushed list must answer a call that it may not hold.
@@ -66,9 +66,9 @@
         # Set by the first list that discovery itself sent.
         self._first_list_received = trio.Event()
 
-        # An agent on this machine has the pushed list and answers at once unless it is silent. Everything
-        # that the agent has counts as received. Its answer must therefore come well within the drain grace,
-        # after which a drain must be obeyed: within half of it.
+        # An agent on this machine has the pushed list and answers at once unless it is silent. This balancer
+        # counts as notified of a change as soon as the agent has it, and must obey a drain once the drain
+        # grace has passed since then. The agent's time limit is therefore half of the drain grace.
         self._list_is_pushed = not engine.settings.polls_endpoint_list
         self._agent_timeout_s = min(engine.settings.drain_grace_ms / 2.0 / 1000.0, MAX_AGENT_TIMEOUT_S)
 
@@ -97,9 +97,9 @@
     async def wait_until_ready(self) -> None:
         """Wait until the balancer may accept clients.
 
-        If the list is pushed, everything that the agent has counts as received from the start of the process
-        (rule 3), and the cached list may be older. The wait for a silent agent ends with the time limit of a
-        call to it.
+        If the list is pushed, the balancer counts as notified of everything that the agent has, from the
+        start of the process (rule 3). The cached list may be older, so the balancer waits for the agent's
+        list, but no longer than a call to the agent may take.
         """
         if self._list_is_pushed:
             with trio.move_on_after(self._agent_timeout_s):
@@ -145,9 +145,9 @@
             try:
                 await self._poll(connection)
             except CallStalledError:
-                # A silent watch is reopened without the pause after a failure: the changes that it misses
-                # soon count as received (rule 3). If the new call stalls too, it is a failed call, and so
-                # is a call that the agent on this machine does not answer.
+                # A silent watch is reopened without the pause that follows a failed call, because the changes
+                # that it misses soon count as received (rule 3). A stalled call that does not continue a
+                # watch is a failed call if an earlier one stalled too, or if it went to the agent.
                 if not self._call.continues_watch and (has_stalled or self._list_is_pushed):
                     raise
                 has_stalled = True
@@ -207,8 +207,8 @@
 
     def _call_timeout_s(self) -> float:
         """Return how long the next call may take."""
-        agent_answers_at_once = self._list_is_pushed and self._generation is None
-        return self._agent_timeout_s if agent_answers_at_once else CALL_TIMEOUT_S
+        agent_must_answer_at_once = self._list_is_pushed and self._generation is None
+        return self._agent_timeout_s if agent_must_answer_at_once else CALL_TIMEOUT_S
 
     def _confirmed_update(self, response: EndpointListResponse, received: ReceivedList) -> EndpointListUpdate:
         """Return the response's update with the time of its confirmation and the queue time of the call."""
--- a/walkloom/lab/invariant_checker.py
+++ b/walkloom/lab/invariant_checker.py
@@ -63,7 +63,8 @@
             return
         notice = self._unready_notices.get(server)
         first_ms = notice.first_ms if notice else now_ms
-        # A notification later than this goes to a watcher that was notified before and polls the list again.
+        # All watchers have been notified by then. A later notification is a repeated one, to a watcher that
+        # polls the list again.
         self._unready_notices[server] = UnreadyNotice(first_ms, min(now_ms, first_ms + MAX_NOTICE_SPREAD_MS))
 
     def attempt_started(
--- a/walkloom/lab/simulator/models.py
+++ b/walkloom/lab/simulator/models.py
@@ -39,7 +39,7 @@
 
 @dataclass(eq=False, slots=True)
 class ModelClient:
-    """A client that wants one connection, over all requests that it sends for it."""
+    """A client that wants one connection: it requests it again after a rejection, failure or disconnect."""
 
     request_class: int
     tenant: int
--- a/walkloom/lab/simulator/simulator.py
+++ b/walkloom/lab/simulator/simulator.py
@@ -21,12 +21,12 @@
 from walkloom.lab.simulator.workload import draw_clients
 from walkloom.messages import AttemptStatus, EndpointListUpdate, Lifecycle, Settings, UpdateKind
 
-MAX_DISCOVERY_JITTER_MS = 50.0  # between the notifications of two balancers of the same change
+MAX_DISCOVERY_JITTER_MS = 50.0  # between the times at which two balancers are notified of one change
 # Times of the faults, as shares of the run
 DRAIN_TIME_SHARE = 1 / 3
 CRASH_TIME_SHARE = 1 / 2
 FAILURE_TIME_SHARE = 2 / 3
-FAILURE_DURATION_DIVISOR = 6  # a failure lasts for the duration of the run over this
+FAILURE_DURATION_DIVISOR = 6  # a failure lasts for the duration of the run divided by this
 
 
 class Simulator:
--- a/walkloom/load_reports/poller.py
+++ b/walkloom/load_reports/poller.py
@@ -44,7 +44,7 @@
         self._max_connections = max_connections
         self._skipped_log = RateLimitedLog("load_report_skipped")
 
-        # Requests polls from each running task; a channel holds one poll that has not begun.
+        # Channels that request polls from the running tasks; each buffers one request.
         self._poll_channels: dict[EndpointId, trio.MemorySendChannel[None]] = {}
 
     async def run(self) -> None:
@@ -57,7 +57,9 @@
         """Request one poll from the endpoint's task, and start the task if there is none."""
         if endpoint_id not in self._poll_channels:
             if len(self._poll_channels) >= self._max_connections:
-                self._skipped_log.count(f"{endpoint_id}: {self._max_connections} polled")
+                self._skipped_log.count(
+                    f"{endpoint_id}: limit of {self._max_connections} polled endpoints reached"
+                )
                 return
             send_channel, receive_channel = trio.open_memory_channel[None](1)
             self._poll_channels[endpoint_id] = send_channel
--- a/walkloom/policy/migration.py
+++ b/walkloom/policy/migration.py
@@ -11,14 +11,15 @@
     TimerToken,
 )
 
-OVERLOAD_PAUSE_MS = 350.0  # mean pause between placements right after an overload; times balancer_count
+OVERLOAD_PAUSE_MS = 350.0  # mean pause between the placements of all balancers right after an overload
 OVERLOAD_PAUSE_DECAY = 0.05  # ms by which it falls in each ms since the overload
-MAJORITY_OVERLOAD_PAUSE_MS = 330.0  # the same at any endpoint while most are overloaded
-OVERLOAD_RECOVERY_MS = 90_000.0  # time after an overload without groups or heavy clients new to the endpoint
+MAJORITY_OVERLOAD_PAUSE_MS = 330.0  # minimum of that mean, at every endpoint, while most are overloaded
+# For this time after an overload, an endpoint gets no affinity group and no heavy client that is new to it.
+OVERLOAD_RECOVERY_MS = 90_000.0
 DRAIN_INTERVAL_MS = 100.0  # between two rounds of migrations off draining endpoints
 DRAIN_MIGRATION_SHARE = 0.2  # of the connections on draining endpoints, in each round
-MIN_OVERLOAD_MIGRATION_SHARE = 0.05  # of an overloaded endpoint's connections, for the shortest delay
-MAX_OVERLOAD_MIGRATION_SHARE = 0.25  # and for long delays
+MIN_OVERLOAD_MIGRATION_SHARE = 0.05  # of the connections on an overloaded endpoint; grows with the delay
+MAX_OVERLOAD_MIGRATION_SHARE = 0.25  # the upper limit, for long delays
 DELAY_MS_PER_SHARE = 4000.0  # the message delay that adds 1 to the share
 
 
@@ -40,7 +41,7 @@
         endpoint.paused_until = NEVER_HAPPENED
         pause_after_overload(state, endpoint)
         return
-    # a connection placed where messages already miss their objective is lost, and adds to the overload
+    # a connection placed now would miss the objective too, and would add to the overload
     endpoint.paused_until = state.now + slow_start.SLOW_MESSAGE_WINDOW_MS
     if state.now - endpoint.overloaded_at >= OVERLOAD_RECOVERY_MS:
         state.actions.append(LogMessage(f"server_overloaded delay_ms={delay_ms:.0f}", endpoint.id))
@@ -58,7 +59,7 @@
 def migrate_from_draining(state: BalancerState) -> None:
     """Migrate a share of the connections on draining endpoints, if another endpoint can take them.
 
-    Deviates from the standard mechanism: nothing tells when a draining endpoint leaves.
+    Deviates from the standard mechanism, because the time at which a draining endpoint leaves is not known.
     """
     draining = [request for request in state.requests.by_id.values() if request.is_on_draining_endpoint()]
     state.is_drain_timer_running = False
@@ -72,7 +73,8 @@
 def _migrate_from_overloaded(state: BalancerState, endpoint: EndpointState, delay_ms: float) -> None:
     """Migrate a share of the connections of an overloaded endpoint, those with the largest load first.
 
-    Deviates from the standard mechanism: with all of its connections a slow endpoint serves none in time.
+    Deviates from the standard mechanism, because a slow endpoint that keeps all of its connections serves
+    none of them in time.
     """
     requests = state.requests.by_id.values()
     established = [request for request in requests if request.endpoint is endpoint and request.is_established]
@@ -82,6 +84,10 @@
 
 
 def _migrate(state: BalancerState, requests: list[RequestState], count: float) -> None:
-    """Migrate the first `count` connections; a fraction is rounded at random: balancers may hold one each."""
+    """Migrate the first `count` connections.
+
+    The fractional part is the probability of one more: a balancer may hold only one connection on an
+    endpoint, and would otherwise never migrate it.
+    """
     chosen = requests[: int(count + state.random.random())]
     state.actions += [MigrateConnection(request.id) for request in chosen]
