--- a/benchmarks/client/fleet_scenarios.py
+++ b/benchmarks/client/fleet_scenarios.py
@@ -1,4 +1,7 @@
-"""The drain of a full server and the outage of all servers, with clients that retry in different ways."""
+"""The drain of a full server and the outage of all servers, with clients that retry in different ways.
+
+A viewer (`benchmarks.client.viewers`) keeps one session established, with or without the client library.
+"""
 
 from __future__ import annotations
 
--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -28,7 +28,7 @@
 
 SMALL_FLEET_SIZE, LARGE_FLEET_SIZE = 200, 3200
 DURATION_S = 20.0
-REQUEST_RATE = 20.0
+REQUEST_RATE = 20.0  # per second
 # At each change one server starts to drain, and the previous one becomes ready again.
 CHANGE_INTERVAL_S = 0.2
 SAMPLE_INTERVAL_S = 0.2
@@ -46,8 +46,8 @@
     list_kb: float
 
 
-# The limit of each cost of the larger fleet, from the smaller fleet's cost and the number of servers of the
-# larger one in thousands.
+# For each cost, the function that returns its limit for the larger fleet. The arguments are the same cost of
+# the smaller fleet and the number of servers of the larger fleet, in thousands.
 LIMITS: dict[str, Callable[[float, float], float]] = {
     "cpu_s": lambda small, thousand_servers: 1.4 * small + 0.02 + 0.12 * thousand_servers,
     "peak_memory_mb": lambda small, thousand_servers: 1.5 * small + 8.0 + 4.0 * thousand_servers,
@@ -60,7 +60,7 @@
 async def measure(server_count: int) -> Cost:
     """Run one balancer with that many servers in its endpoint list, and return its cost."""
     deployment = Deployment(
-        balancer_count=200,
+        balancer_count=200,  # as the configuration states; only one of them runs
         process_count=1,
         server_count=server_count,
         is_pushed=False,
--- a/walkloom/cli/__init__.py
+++ b/walkloom/cli/__init__.py
@@ -1,4 +1,6 @@
-"""The command line: `walkloom`, or `python -m walkloom` with arguments. Without arguments it is not imported.
+"""The command line: `walkloom`, or `python -m walkloom` with arguments.
+
+`python -m walkloom` without arguments serves as a balancer and does not import this package.
 
 Each command is a module of its own, imported only when the command is used. Exit codes: 0 success,
 1 completed but a check failed, 2 unusable arguments or files (with a message of one line), 130 interrupted.
--- a/walkloom/client/attempt_scheduler.py
+++ b/walkloom/client/attempt_scheduler.py
@@ -19,7 +19,7 @@
 from walkloom.client.settings import ClassPolicy
 
 # timeout of an attempt, in latency objectives of its class, if a retry on another balancer could follow
-FIRST_ATTEMPT_TIMEOUT_FACTOR = 2.0
+RETRYABLE_ATTEMPT_TIMEOUT_FACTOR = 2.0
 
 
 class AttemptScheduler:
@@ -112,7 +112,7 @@
 
     def _may_probe(self, session: Session, now: float) -> bool:
         time_left_ms = session.request_deadline - now
-        return _has_attempts_left(session) and time_left_ms > _first_attempt_timeout_ms(session)
+        return _has_attempts_left(session) and time_left_ms > _retryable_attempt_timeout_ms(session)
 
     def _start(self, session: Session, request_class: RequestClass, balancer: Balancer, now: float) -> None:
         session.begin_attempt(balancer, now, now + self._attempt_timeout_ms(session, balancer, now))
@@ -127,10 +127,10 @@
     def _attempt_timeout_ms(self, session: Session, balancer: Balancer, now: float) -> float:
         """Return the time left, or less if a retry on another balancer could follow."""
         time_left_ms = session.request_deadline - now
-        first_attempt_timeout_ms = _first_attempt_timeout_ms(session)
-        has_time_for_retry = time_left_ms - first_attempt_timeout_ms > self.class_of(session).min_attempt_ms
+        retryable_timeout_ms = _retryable_attempt_timeout_ms(session)
+        has_time_for_retry = time_left_ms - retryable_timeout_ms > self.class_of(session).min_attempt_ms
         if _has_attempts_left(session) and has_time_for_retry and self._pool.has_alternative(balancer):
-            return first_attempt_timeout_ms
+            return retryable_timeout_ms
         return time_left_ms
 
     # End of attempts
@@ -163,7 +163,8 @@
     def admits_reconnect(self, class_name: str, now: float) -> bool:
         """Whether a reconnect of that class may begin its request now.
 
-        A queued request goes first: its deadline is running, that of a reconnect not yet.
+        A queued request goes first: its deadline is already set. The deadline of a reconnect is set only when
+        its request begins.
         """
         request_class = self.classes[class_name]
         has_room = self._has_room(request_class, now)
@@ -189,5 +190,5 @@
     return session.attempts + 1 < session.policy.max_attempts
 
 
-def _first_attempt_timeout_ms(session: Session) -> float:
-    return FIRST_ATTEMPT_TIMEOUT_FACTOR * session.policy.latency_objective_ms
+def _retryable_attempt_timeout_ms(session: Session) -> float:
+    return RETRYABLE_ATTEMPT_TIMEOUT_FACTOR * session.policy.latency_objective_ms
--- a/walkloom/lab/simulator/server_pool.py
+++ b/walkloom/lab/simulator/server_pool.py
@@ -31,7 +31,11 @@
         return server
 
     def utilization(self, server: ModelServer) -> float:
-        """Return the load of a server over its current capacity."""
+        """Return the load of a server over its current capacity.
+
+        Both are shares of the full capacity. Here every server always has its full capacity; a subclass may
+        reduce it.
+        """
         return server.load
 
     def load_report(self, server: ModelServer) -> tuple[float, float, float] | None:
@@ -41,7 +45,10 @@
         return (0.0, float(len(server.clients)), server.load)
 
     def receive_attempt(self, server: ModelServer) -> bool:
-        """Handle the arrival of an attempt; return False if the server hangs and never answers."""
+        """Handle the arrival of an attempt; return False if the server hangs and never answers.
+
+        Only servers of a subclass can hang.
+        """
         return True
 
     def attach(self, server: ModelServer, client: ModelClient) -> None:
--- a/walkloom/log_output.py
+++ b/walkloom/log_output.py
@@ -22,7 +22,11 @@
     """Writes each record to a descriptor, or drops it if the write would block or fails."""
 
     def __init__(self, descriptor: int) -> None:
-        """Write to the caller's descriptor; a pipe is reopened, so that its other users still block."""
+        """Write to the file of a descriptor.
+
+        A pipe is reopened in non-blocking mode. The given descriptor, which other processes may share, keeps
+        its own mode.
+        """
         super().__init__()
         self._descriptor = _open_non_blocking(descriptor)
         self._dropped = 0
