--- a/tests/client/test_attempts.py
+++ b/tests/client/test_attempts.py
@@ -26,16 +26,16 @@
     }
 
 
-def test_a_retry_goes_to_another_balancer_marked_with_a_new_id_and_less_time() -> None:
+def test_a_retry_goes_to_another_balancer_with_a_retry_mark_a_new_id_and_less_time() -> None:
     harness = CoreHarness(ONE, TWO)
     session = harness.open()
     first = harness.newest_address(session)
     harness.answer(session, "ERR")
-    harness.advance(60)
+    harness.advance(60)  # the backoff before the first retry is at most 50 ms
     assert harness.newest_address(session) != first
     harness.accept(session)
-    fields, before = opening_fields(harness, session), harness.lines[session.session_id][0]
-    assert fields["r"] == "1" and "again" not in fields and fields["id"].encode() not in before
+    fields, first_opening_line = opening_fields(harness, session), harness.lines[session.session_id][0]
+    assert fields["r"] == "1" and "again" not in fields and fields["id"].encode() not in first_opening_line
     # two latency objectives, because a retry on another balancer could follow
     assert 540 <= int(fields["d"]) <= 600
     harness.deliver(session, "UP 3\r\n")
@@ -51,7 +51,7 @@
     assert (
         session.state is SessionState.CLOSED
         and isinstance(session.error, Failed)
-        and harness.now < 1200 + 1000
+        and harness.now < 1200 + 1000  # ms: the deadline of the class, and the time at which the clock starts
     )
 
 
@@ -86,6 +86,7 @@
     harness.accept(session)
     harness.advance(2000)
     assert isinstance(session.error, TimedOut) and len(harness.disconnects) == 2
+    # the harness's clock starts at 1000 ms, and the deadline of the class is 1200 ms
     assert all(at <= 1000 + 1200 for at, _ in harness.disconnects)
 
 
--- a/tests/frontends/quic/test_frontend.py
+++ b/tests/frontends/quic/test_frontend.py
@@ -1,4 +1,9 @@
-"""Scenarios of the QUIC frontend; `harness` documents the names of the packets."""
+"""Scenarios of the QUIC frontend.
+
+`tests.scenario` documents the steps, `harness` the names of the packets. s1 and s2 are paths at the servers,
+in the order of their first packet. `c reset` gives the client another address: the balancer then opens a
+second path to the same server.
+"""
 
 from __future__ import annotations
 
--- a/tests/lab/test_load.py
+++ b/tests/lab/test_load.py
@@ -61,7 +61,7 @@
     assert any("within the aim" in text for _, text in report.rows())
 
 
-def test_a_stall_is_charged_for_all_arrivals_during_it() -> None:
+def test_a_stall_is_counted_as_delay_of_all_arrivals_during_it() -> None:
     async def body(fleet: Fleet) -> LoadReport:
         server = fleet.servers["s-0"]
         async with trio.open_nursery() as nursery:
@@ -74,7 +74,8 @@
             return await generate_load(load_options(fleet, "50:8", mean_lifetime_s=0.2, line_interval_s=0.0))
 
     report = run_against_fleet(body, setup_ms=1.0, max_queue_ms=5000.0)
-    # The stall delays one eighth of all arrivals by half a second on average; a closed loop would see one.
+    # The stall delays one eighth of all arrivals by half a second on average; a closed loop would record one
+    # delayed arrival.
     assert report.setup_times.value_at(50) < 5
     assert report.setup_times.value_at(95) >= 300
     assert report.setup_times.value_at(99) >= 700
@@ -93,7 +94,7 @@
     assert getattr(report, name) == report.arrivals > 10 and report.established == 0
 
 
-def test_migrated_broken_and_unconnected_connections_are_counted_separately() -> None:
+def test_migrations_broken_connections_and_connect_failures_are_counted_separately() -> None:
     async def body(fleet: Fleet) -> LoadReport:
         async def play_faults() -> None:
             await trio.sleep(2)
