--- a/tests/frontends/quic/harness.py
+++ b/tests/frontends/quic/harness.py
@@ -222,7 +222,7 @@
     address = await world.nursery.start(frontend.run)
     second_world = scenario.World(world.nursery)
     second_world.servers = world.servers
-    second_world.update_list("up")
+    second_world.list_servers_as("up")
     second_frontend = QuicFrontend(second_world.engine, config)
     world.second_balancer_address = await world.nursery.start(second_frontend.run)
 
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,18 +1,20 @@
-"""The scenario language: one step per line, run against a frontend on loopback by stub peers.
-
-    c send TEXT       a peer sends; clients (c, c2, ...) connect by their first send
-    c part TEXT       the same without a line end
-    s1 expect GLOB    the next input matches; s1: the first connection at any server, s2: the second
-    c close | reset   ends the connection
-    s1 flood          sends lines until no more are accepted; c flooded LAST reads them and then LAST
-    wait MS           time passes, on the mock clock
-    within MS STEP    the step completes within this time
-    after MS STEP     the step does not complete before this time
-    list STATE        every server is listed in this state (up, draining, removed)
-    stop              the balancer begins to migrate its connections
-    VERB ARGUMENT     a step that the builder of the scenario adds
-
-A closed or reset connection reads as EOF or RESET.
+"""The scenario language: stub peers run a script, one step a line, against a frontend on loopback.
+
+    c send TEXT       the peer sends a line; a client (c, c2, ...) connects before its first step
+    c part TEXT       the peer sends the text without a line end
+    s1 expect GLOB    the next line or datagram that the peer receives matches the pattern;
+                      s1 is the first connection at any server, s2 the second
+    c close | reset   the peer closes or resets its connection
+    s1 flood          the peer sends lines until its send buffer is full
+    c flooded LAST    the peer receives these lines, and LAST after them
+    wait MS           the mock clock advances
+    within MS STEP    the step succeeds within this time
+    after MS STEP     the step succeeds, but not within this time
+    list STATE        discovery lists every server in this state (up, draining, removed)
+    stop              the engine starts to migrate its connections
+    VERB ARGUMENTS    a step that the builder of the scenario adds
+
+`expect` matches EOF or RESET once the connection is closed or reset.
 """
 
 from __future__ import annotations
@@ -29,10 +31,10 @@
 from walkloom.engine.engine import Engine
 from walkloom.messages import Endpoint, Lifecycle, UpdateKind
 
-# Timeout of one step, in seconds of the mock clock.
-STEP_LIMIT_S = 120
+# On the mock clock.
+STEP_TIMEOUT_S = 120
 
-STATES = {"up": Lifecycle.READY, "draining": Lifecycle.DRAINING, "removed": Lifecycle.REMOVED}
+LIFECYCLES = {"up": Lifecycle.READY, "draining": Lifecycle.DRAINING, "removed": Lifecycle.REMOVED}
 
 
 class Peer(Protocol):
@@ -42,20 +44,20 @@
         """Send a line or a datagram."""
 
     async def receive(self) -> str:
-        """Return the next input; EOF or RESET at the end."""
+        """Return the next line or datagram; EOF or RESET when the connection has ended."""
 
     async def close(self) -> None:
-        """End the connection gracefully."""
+        """Close the connection gracefully."""
 
     async def reset(self) -> None:
-        """End the connection with a reset."""
+        """Reset the connection."""
 
 
 class World:
     """An engine with its tasks, and the peers of one scenario.
 
-    The builder of the scenario sets `dial`, which connects a client, and `servers`; it may add steps to
-    `verbs`.
+    The builder of the scenario sets `dial`, which connects a client, and `servers`, the names of the servers.
+    It adds its own steps to `verbs`.
     """
 
     def __init__(self, nursery: trio.Nursery, connect_timeout: float = 60.0, **changes: object) -> None:
@@ -64,104 +66,104 @@
         self.nursery = nursery
         self.connect_timeout = connect_timeout
         self.servers: tuple[str, ...] = ()
-        # Listeners of the servers.
+        # The listeners of the servers.
         self.listeners: list[trio.SocketListener] = []
         self.clients: dict[str, Any] = {}
-        # Connections at the servers, in order of arrival.
+        # Connections at the servers, in the order in which they were accepted.
         self.server_connections: list[Any] = []
-        self._connection_arrived = trio.Event()
+        self._connection_added = trio.Event()
         self.dial: Callable[[str], Awaitable[Any]]
         self.verbs: dict[str, Callable[[str], Awaitable[None]]] = {}
         nursery.start_soon(self.engine.run_timers)
         nursery.start_soon(self.engine.run_latency_monitor)
 
-    def update_list(self, state: str) -> None:
-        """Pass the engine a list in which every server is in this state."""
-        lines = (Endpoint(name, lifecycle=STATES[state]) for name in self.servers)
-        self.engine.endpoint_list_received(UpdateKind.SNAPSHOT, lines)
+    def list_servers_as(self, state: str) -> None:
+        """Send the engine an endpoint list in which every server is in this state."""
+        endpoints = (Endpoint(name, lifecycle=LIFECYCLES[state]) for name in self.servers)
+        self.engine.endpoint_list_received(UpdateKind.SNAPSHOT, endpoints)
 
     def add_server_connection(self, peer: Peer) -> None:
-        """Record a new connection at a server."""
+        """Add a connection that a server has accepted."""
         self.server_connections.append(peer)
-        self._connection_arrived.set()
-        self._connection_arrived = trio.Event()
+        self._connection_added.set()
+        self._connection_added = trio.Event()
 
-    async def peer(self, name: str) -> Peer:
-        """Return the peer of this name; wait for a connection at a server, or connect a new client."""
+    async def get_peer(self, name: str) -> Peer:
+        """Return a peer by its name; waits for a connection at a server, and connects a client if needed."""
         if name.startswith("s"):
             while len(self.server_connections) < int(name[1:]):
-                await self._connection_arrived.wait()
+                await self._connection_added.wait()
             return self.server_connections[int(name[1:]) - 1]  # type: ignore[no-any-return]
         if name not in self.clients:
             self.clients[name] = await self.dial(name)
         return self.clients[name]  # type: ignore[no-any-return]
 
-    async def play(self, script: str) -> None:
-        """Run a script; an AssertionError names the step that failed."""
+    async def run_script(self, script: str) -> None:
+        """Run a script. Raises AssertionError with the step that failed."""
         for step in filter(None, map(str.strip, script.splitlines())):
             try:
-                with trio.fail_after(STEP_LIMIT_S):
+                with trio.fail_after(STEP_TIMEOUT_S):
                     await self._step(step)
             except Exception as error:
                 raise AssertionError(f"at step {step!r}: {error!r}") from error
 
     async def _step(self, step: str) -> None:
         name, _, rest = step.partition(" ")
-        verb, _, argument = rest.partition(" ")
+        verb, _, arguments = rest.partition(" ")
         if name == "within":
             with trio.fail_after(float(verb) / 1000.0):
-                await self._step(argument)
+                await self._step(arguments)
         elif name == "after":
-            with trio.move_on_after(float(verb) / 1000.0) as early:
-                await self._step(argument)
-            assert early.cancelled_caught, "completed too early"
-            await self._step(argument)
+            with trio.move_on_after(float(verb) / 1000.0) as timeout:
+                await self._step(arguments)
+            assert timeout.cancelled_caught, "the step succeeded too early"
+            await self._step(arguments)
         elif name == "wait":
             await trio.sleep(float(rest) / 1000.0)
         elif name in self.verbs:
             await self.verbs[name](rest)
         elif name == "list":
-            self.update_list(rest)
+            self.list_servers_as(rest)
         elif name == "stop":
             self.nursery.start_soon(self.engine.migrate_connections, 0.5, 1.5)
         else:
-            await self._peer_step(await self.peer(name), verb, argument)
+            await self._peer_step(await self.get_peer(name), verb, arguments)
 
-    async def _peer_step(self, peer: Any, verb: str, argument: str) -> None:
+    async def _peer_step(self, peer: Any, verb: str, arguments: str) -> None:
         if verb == "expect":
-            got = await peer.receive()
-            assert fnmatchcase(got, argument), f"got {got!r}"
+            received = await peer.receive()
+            assert fnmatchcase(received, arguments), f"got {received!r}"
         elif verb in ("send", "part", "flooded"):
-            await getattr(peer, verb)(argument)
+            await getattr(peer, verb)(arguments)
         else:
             await getattr(peer, verb)()
 
 
 class BeforeStep(trio.abc.Instrument):
-    """Runs an action once, right before the next step of a task, as if both were woken in the same tick."""
+    """Calls a function once, right before the next step of a task: in the tick in which the task wakes."""
 
-    def __init__(self, task: str, action: Callable[[], None]) -> None:
-        """Wait for the next step of the task whose name ends with `task`."""
-        self.task = task
-        self.action = action
+    def __init__(self, task_name: str, callback: Callable[[], None]) -> None:
+        """Wait for a step of the task whose name ends in `task_name`."""
+        self.task_name = task_name
+        self.callback = callback
         trio.lowlevel.add_instrument(self)
 
     def before_task_step(self, task: trio.lowlevel.Task) -> None:
-        """Run the action once; trio calls this before each step of each task."""
-        if task.name.endswith(self.task):
+        """Call the function if this is the task; trio calls this method before each step of each task."""
+        if task.name.endswith(self.task_name):
             trio.lowlevel.remove_instrument(self)
-            self.action()
+            self.callback()
 
 
-class ErrorLogHandler(logging.Handler):
-    """Collects the errors that the program logs: it survives them, but a scenario must detect them."""
+class ErrorRecorder(logging.Handler):
+    """Records what the program logs at level ERROR: it survives these errors, but a scenario reports them."""
 
     def __init__(self) -> None:
         super().__init__(logging.ERROR)
         self.messages: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Collect the message of the record."""
+        """Record the formatted message."""
         self.messages.append(record.getMessage())
 
 
@@ -171,24 +173,24 @@
     expected_errors: tuple[str, ...] = (),
     **changes: Any,
 ) -> None:
-    """Run a script in a world that `build` has set up.
+    """Run a script against the program that `build` starts in the world.
 
-    expected_errors: the expected log events at level ERROR, in order. changes: changed settings.
+    `expected_errors` are the log events at level ERROR, in order. `changes` are the settings to change.
     """
 
     async def main() -> None:
         async with trio.open_nursery() as nursery:
             world = World(nursery, **changes)
             await build(world)
-            world.update_list("up")
-            await world.play(script)
+            world.list_servers_as("up")
+            await world.run_script(script)
             nursery.cancel_scope.cancel()
 
-    # Loopback delivers at once, so a program that is idle for 10 ms waits only for time to pass.
-    handler = ErrorLogHandler()
+    # Loopback delivers at once, so a program that is idle for 10 ms waits only for the clock.
+    handler = ErrorRecorder()
     logging.getLogger("walkloom").addHandler(handler)
     try:
         trio.run(main, clock=MockClock(autojump_threshold=0.01))
     finally:
         logging.getLogger("walkloom").removeHandler(handler)
-    assert tuple(line.split()[0] for line in handler.messages) == expected_errors, handler.messages
+    assert tuple(message.split()[0] for message in handler.messages) == expected_errors, handler.messages
