--- a/tests/lab/test_stale_list.py
+++ b/tests/lab/test_stale_list.py
@@ -8,7 +8,7 @@
 import trio
 
 from walkloom.lab.soak.history import RequestAnswered
-from walkloom.lab.soak.runner import RunResult, play
+from walkloom.lab.soak.runner import RunResult, execute_run
 from walkloom.lab.soak.scenarios import SCENARIOS
 
 # Runs at a time; each has three balancer processes and one process for the stand-ins.
@@ -19,7 +19,7 @@
 
 
 def play_scenario(name: str) -> RunResult:
-    return trio.run(play, SCENARIOS[name]())
+    return trio.run(execute_run, SCENARIOS[name]())
 
 
 @pytest.fixture(scope="module")
--- a/tests/soak_plants/__main__.py
+++ b/tests/soak_plants/__main__.py
@@ -16,7 +16,7 @@
 import trio
 
 from tests.soak_plants.plants import PLANTS, Plant
-from walkloom.lab.soak.runner import RunPlan, play
+from walkloom.lab.soak.runner import RunPlan, execute_run
 from walkloom.lab.soak.violation import Violation
 
 ROOT = Path(__file__).parents[2]
@@ -66,7 +66,7 @@
 
 
 def _play(seed: int, source: Path) -> list[Violation]:
-    result = trio.run(partial(play, RunPlan.from_seed(seed, small=True), source))
+    result = trio.run(partial(execute_run, RunPlan.from_seed(seed, small=True), source))
     return result.violations
 
 
--- a/walkloom/lab/soak/campaign.py
+++ b/walkloom/lab/soak/campaign.py
@@ -10,7 +10,7 @@
 import trio
 
 from walkloom.lab.soak import report
-from walkloom.lab.soak.runner import RunPlan, play
+from walkloom.lab.soak.runner import RunPlan, execute_run
 
 
 def run_seeds(
@@ -37,7 +37,7 @@
 
 def _run_seed(seed: int, *, small: bool, folder: Path | None) -> tuple[list[str], int]:
     """Run one seed; return its summary and first violations as lines, and the number of all violations."""
-    result = trio.run(play, RunPlan.from_seed(seed, small=small))
+    result = trio.run(execute_run, RunPlan.from_seed(seed, small=small))
     name = f"seed-{seed}"
     if folder:
         report.write_timelines(folder, name, result)
--- a/walkloom/lab/soak/client.py
+++ b/walkloom/lab/soak/client.py
@@ -22,8 +22,10 @@
 # A client waits this long past its deadline, so that a late answer is recorded as late.
 LATE_ANSWER_WAIT_S = 2.0
 LINE_INTERVAL_S = 0.4
+# Pause between the pieces of a request line (WRITES_SLOWLY).
 PIECE_INTERVAL_S = 0.02
-# A line that stays unanswered for longer is recorded; the platform allows 7 s.
+# The platform requires that a connection is closed or migrated once a line is unanswered for 7 s. A longer
+# wait is recorded.
 MAX_UNANSWERED_S = 7.0
 # Lines carry their time of sending with six decimals.
 SENT_AT_PRECISION_S = 1e-6
@@ -63,6 +65,7 @@
 
     def request_line(self) -> bytes:
         """Return the request line, with its line end."""
+        # The number of the group is also the client key, the second argument of OPEN.
         fields = f"c={self.request_class},d={self.deadline_ms},g={self.group:x}"
         return f"OPEN {self.request} {self.group:x} {fields}\r\n".encode()
 
@@ -122,6 +125,7 @@
                 await self._read_until_end()
                 return False
             case ClientBehaviour.WRITES_SLOWLY:
+                # Pieces of 16 bytes.
                 for start in range(0, len(line), 16):
                     await self._lines.send(line[start : start + 16])
                     await trio.sleep(PIECE_INTERVAL_S)
--- a/walkloom/lab/soak/discovery.py
+++ b/walkloom/lab/soak/discovery.py
@@ -58,8 +58,8 @@
     CROWDED = "crowded"
 
 
-# Modes in which discovery counts as down. Silence and malformed answers are no excuse: a change that a
-# balancer misses in those modes still counts as notified.
+# Modes in which discovery counts as down. In every other mode a change counts as notified after a time limit
+# at the latest, even if the balancer got no answer or a malformed one.
 DOWN_MODES = (DiscoveryMode.REFUSING, DiscoveryMode.UNAVAILABLE)
 PUSHED_DOWN_MODES = (*DOWN_MODES, DiscoveryMode.SILENT)
 
@@ -118,8 +118,8 @@
     ) -> None:
         """The listeners run in the nursery, on ports of the host.
 
-        is_pushed: this is the agent of a pushed list. It learns no change while SILENT, so that mode
-        counts as down too.
+        is_pushed: the balancers get a pushed list, and this stand-in is the agent that they call for it.
+        While SILENT, the agent itself receives no change, so that mode counts as down too.
         """
         self._host = host
         self._down_modes = PUSHED_DOWN_MODES if is_pushed else DOWN_MODES
@@ -157,7 +157,7 @@
         entry.generation = self.generation
         self._entries[entry.name] = entry
         self._history.add(ListChanged(trio.current_time(), self.generation, entry.name, entry.lifecycle))
-        self._wake()
+        self._wake_waiting_calls()
 
     def snapshot(self) -> dict[str, object]:
         """Return the whole list in its wire form."""
@@ -165,7 +165,7 @@
         instances = [entry.to_wire() for entry in present]
         return {"generation": self.generation, "reset": True, "instances": instances}
 
-    def _wake(self) -> None:
+    def _wake_waiting_calls(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
 
@@ -187,7 +187,7 @@
                 await self._reset(caller)
             elif mode is not DiscoveryMode.REFUSING and caller.listener is None:
                 self._listen(caller)
-        self._wake()
+        self._wake_waiting_calls()
 
     async def reset_watches(self) -> None:
         """Reset all open connections."""
@@ -262,9 +262,9 @@
             return False
         if caller.calls_to_fail > 0:
             caller.calls_to_fail -= 1
-            return await self._refuse(caller, connection)
+            return await self._answer_unavailable(caller, connection)
         if self.mode is DiscoveryMode.CROWDED and not await self._wait_in_queue():
-            return await self._refuse(caller, connection)
+            return await self._answer_unavailable(caller, connection)
         index = int(match[1]) if match[1] else None
         if index is not None and not await self._hold_watch_while_open(
             connection, index, int(match[2]) / 1000.0
@@ -313,7 +313,7 @@
         while self.mode is DiscoveryMode.SILENT:
             await self._changed.wait()
         if self.mode is DiscoveryMode.UNAVAILABLE:
-            return await self._refuse(caller, connection)
+            return await self._answer_unavailable(caller, connection)
         if self.mode is DiscoveryMode.ANSWERING_LATE:
             await trio.sleep(ANSWER_DELAY_S)
         generation = self.generation
@@ -331,7 +331,7 @@
         self._history.add(ListWritten(trio.current_time(), caller.balancer, generation))
         return True
 
-    async def _refuse(self, caller: _Caller, connection: _Connection) -> bool:
+    async def _answer_unavailable(self, caller: _Caller, connection: _Connection) -> bool:
         await connection.stream.send_all(_UNAVAILABLE)
         self._history.add(CallFailed(trio.current_time(), caller.balancer))
         return False
--- a/walkloom/lab/soak/notices.py
+++ b/walkloom/lab/soak/notices.py
@@ -1,6 +1,7 @@
 """Computes when each balancer counts as notified of a server's drain, from the records alone. No I/O.
 
-The rules are the platform's (pages "Protocol" and "Standing test"). Times are seconds on the history's clock.
+The rules come from the platform's pages "Protocol" and "Standing test". Times are seconds on the
+history's clock.
 """
 
 from __future__ import annotations
@@ -23,11 +24,11 @@
 
 # A change counts as notified at the latest this long after discovery had it and was reachable.
 MAX_NOTIFICATION_DELAY_S = 6.0
-# Pushed lists: after a SIGHUP, changes that the agent has count as notified only after this time.
+# Pushed lists: within this time after a SIGHUP, a change that the agent has does not yet count as notified.
 RELOAD_NOTIFICATION_DELAY_S = 4.0
 # A failed call multiplies the poll interval that the settings allow by this factor.
 FAILED_CALL_FACTOR = 4.0
-# A watch counts as continued if its next call comes within this time.
+# A watch counts as continued if the next call comes within this time after the previous call ended.
 MAX_WATCH_GAP_S = 0.2
 
 
@@ -39,6 +40,7 @@
     written: list[ListWritten] = field(default_factory=list)
     reachable: list[DiscoveryReachable] = field(default_factory=list)
     calls: list[float] = field(default_factory=list)
+    # When each call ended, and whether its answer was written completely.
     call_ends: list[tuple[float, bool]] = field(default_factory=list)
     reloads: list[float] = field(default_factory=list)
     silenced: list[float] = field(default_factory=list)
@@ -80,7 +82,7 @@
         changed_at: when discovery had the change of that generation.
         """
         records = self._records_of(balancer)
-        start = _latest(records.starts, at)
+        start = _latest_start(records.starts, at)
         if start is None or start.known_generation >= generation:
             return changed_at if start is None else max(start.at, changed_at)
         changed_since = max(changed_at, start.at)
@@ -89,15 +91,20 @@
             for record in records.written
             if record.generation >= generation and record.at >= start.at
         )
-        candidates = [min(written, default=math.inf), self._notified_by_time(records, changed_since)]
+        possible_times = [min(written, default=math.inf), self._notification_deadline(records, changed_since)]
         if not self._is_pushed:
-            candidates.append(self._notified_without_poll(records, changed_since, start.at))
-        return min(candidates)
+            possible_times.append(self._notified_without_poll(records, changed_since, start.at))
+        return min(possible_times)
 
-    def _notified_by_time(self, records: _BalancerRecords, changed_since: float) -> float:
+    def _notification_deadline(self, records: _BalancerRecords, changed_since: float) -> float:
         """Return when the change counts as notified at the latest, whatever lists were written.
 
-        The time limit starts once discovery has the change and is reachable.
+        The time limit starts once discovery has the change and is reachable. A polled list has
+        MAX_NOTIFICATION_DELAY_S. For a pushed list:
+        - If the open watches were silenced before and no call came since, the change counts as notified
+          MAX_NOTIFICATION_DELAY_S after they were silenced, but not before discovery is reachable.
+        - Shortly after a SIGHUP, it counts as notified RELOAD_NOTIFICATION_DELAY_S after the signal.
+        - Otherwise it counts as notified at once.
         """
         reachable_at = _first_reachable(records.reachable, changed_since)
         if not self._is_pushed:
@@ -115,26 +122,27 @@
     ) -> float:
         """Return when a balancer that has no open watch and does not poll counts as notified.
 
-        The allowed poll interval starts at the change or at its last call, whichever is later. Infinity where
-        it polled in time.
+        The allowed poll interval starts at the change or at the balancer's last call, whichever is later.
+        Return infinity if the balancer polled in time.
         """
         ends = [(end, is_answered) for end, is_answered in records.call_ends if end >= started_at]
-        gaps = [(started_at, started_at, True)]
+        # When each call ended and began, and whether it was answered. The start counts as an answered call.
+        ended_calls = [(started_at, started_at, True)]
         for end, is_answered in ends:
             called_at = max((call for call in records.calls if call <= end), default=started_at)
-            gaps.append((end, called_at, is_answered))
-        for end, called_at, is_answered in gaps:
+            ended_calls.append((end, called_at, is_answered))
+        for end, called_at, is_answered in ended_calls:
             next_call = min((call for call in records.calls if call > end), default=math.inf)
             if next_call - end <= MAX_WATCH_GAP_S:
                 continue
             limit_s = self._max_poll_interval_s * (1.0 if is_answered else FAILED_CALL_FACTOR)
-            counts_at = max(changed_since, called_at) + limit_s
-            if end <= counts_at < next_call:
-                return counts_at
+            latest_notified_at = max(changed_since, called_at) + limit_s
+            if end <= latest_notified_at < next_call:
+                return latest_notified_at
         return math.inf
 
 
-def _latest(starts: Iterable[ProcessStarted], at: float) -> ProcessStarted | None:
+def _latest_start(starts: Iterable[ProcessStarted], at: float) -> ProcessStarted | None:
     return max((start for start in starts if start.at <= at), key=lambda start: start.at, default=None)
 
 
--- a/walkloom/lab/soak/process.py
+++ b/walkloom/lab/soak/process.py
@@ -102,7 +102,7 @@
         new_file.replace(self.folder / "system_calls")
 
     def measure(self) -> None:
-        """Record the number of open descriptors and the resident memory of the process."""
+        """Record the number of open descriptors and the resident memory (KiB) of the process."""
         if self.popen and self.is_running:
             with suppress(OSError):
                 descriptors = len(os.listdir(f"/proc/{self.popen.pid}/fd"))
@@ -126,6 +126,7 @@
     async def wait(self) -> int:
         """Wait for the process to end; return its exit status."""
         assert self.popen
+        # The exit is polled for three times as often as readiness.
         while self.popen.poll() is None:
             await trio.sleep(READY_POLL_S / 3)
         status = self.popen.returncode
--- a/walkloom/lab/soak/request_rules.py
+++ b/walkloom/lab/soak/request_rules.py
@@ -1,6 +1,6 @@
 """Rules for requests and their connections. No I/O; times are seconds on the history's clock.
 
-The bounds are those of the platform's pages "Protocol" and "Standing test".
+The bounds come from the platform's pages "Protocol" and "Standing test".
 """
 
 from __future__ import annotations
@@ -18,7 +18,8 @@
 # A final answer up to this long after the deadline has no value but breaks no rule. A later one counts as
 # lost.
 ANSWER_GRACE_S = 0.5
-# An attempt that begins later than this after its client disconnected counts as a lost request.
+# An attempt may begin up to this long after the client of its request disconnected. With a later one, the
+# request counts as lost.
 LEFT_GRACE_S = 0.1
 # Requests that are sent up to this long after SIGTERM must still be answered.
 ACCEPT_AFTER_TERM_S = 0.4
@@ -97,7 +98,7 @@
             previous_end = attempt.ended_at
 
     def _check_repeats(self, request: RequestRecords) -> Iterator[Violation]:
-        """After an attempt that may have run, the class limits where and until when it may be repeated."""
+        """Check the retries of a request that may have run: its class limits their servers and their time."""
         repeat = self._repeat_by_class[request.plan.request_class]
         may_have_run = [attempt for attempt in request.attempts if attempt.end not in ENDS_WITHOUT_EFFECT]
         if repeat == "idempotent" or not may_have_run:
@@ -109,8 +110,8 @@
             if repeat == "at_most_once" or is_late or not self._share_deduplication_scope(first, attempt):
                 text = f"{repeat}: repeated on {attempt.server} after {first.server} ({first.end})"
                 yield self._violation("repeat", request, attempt.began_at, bound, text)
-        is_harmless = repeat == "deduplicated" and self._deployment.deduplication_scope == "all"
-        if request.answers and request.answers[0].word == "BUSY" and not is_harmless:
+        is_busy_allowed = repeat == "deduplicated" and self._deployment.deduplication_scope == "all"
+        if request.answers and request.answers[0].word == "BUSY" and not is_busy_allowed:
             text = f"{repeat}: BUSY promises that nothing ran, but the request may have run on {first.server}"
             yield self._violation("promise", request, request.answers[0].at, first.began_at, text)
 
@@ -152,7 +153,8 @@
             )
             if is_unannounced and request.sent_at <= signal.at + SOCKET_SLACK_S and signal.at <= due_at:
                 return True
-            # Past the time for new connections, a request may reach a process that is about to end.
+            # A request sent more than ACCEPT_AFTER_TERM_S after SIGTERM may reach a process that is about to
+            # end.
             ending_since = signal.at + ACCEPT_AFTER_TERM_S
             ending_until = signal.at + sigkill_delay_s + SOCKET_SLACK_S
             is_ending = signal.name == "SIGTERM" and ending_since < request.sent_at <= ending_until
@@ -193,12 +195,12 @@
         if "MOVE" in ended.last_line and ended.last_line != "MOVE":
             text = f"MOVE within a line: {ended.last_line!r}"
             yield self._violation("move", request, ended.at, ended.at, text)
-        was_migrated = ended.last_line in ("MOVE", "BYE")
-        if not was_migrated and not self._was_cut_by_other_cause(request, ended.at):
+        was_ended_normally = ended.last_line in ("MOVE", "BYE")
+        if not was_ended_normally and not self._is_cut_allowed(request, ended.at):
             text = f"connection cut without MOVE, last line {ended.last_line!r}"
             yield self._violation("cut", request, ended.at, ended.at, text)
 
-    def _was_cut_by_other_cause(self, request: RequestRecords, ended_at: float) -> bool:
+    def _is_cut_allowed(self, request: RequestRecords, ended_at: float) -> bool:
         """Whether the server ended the connection, or the balancer was killed without SIGTERM."""
         if any(attempt.was_ended_by_server for attempt in request.attempts):
             return True
--- a/walkloom/lab/soak/runner.py
+++ b/walkloom/lab/soak/runner.py
@@ -68,11 +68,11 @@
     logs: dict[str, str]
 
 
-async def play(plan: RunPlan, source: Path | None = None) -> RunResult:
+async def execute_run(plan: RunPlan, source: Path | None = None) -> RunResult:
     """Execute a run. source: the folder that has the `walkloom` package to run; None: this checkout."""
     with tempfile.TemporaryDirectory(prefix="soak-") as folder:
         run = _Run(plan, Path(folder), source)
-        await run.play()
+        await run.execute()
         violations = check(plan.deployment, plan.clients, run.history)
         logs = {process.name: process.log_path.read_text(errors="replace") for process in run.processes}
         return RunResult(plan, run.history, violations, logs)
@@ -95,7 +95,7 @@
         # Names of the processes that a step is restarting.
         self._restarting: set[str] = set()
 
-    async def play(self) -> None:
+    async def execute(self) -> None:
         """Execute the run, from the start of the stand-ins to the end of all processes."""
         with self._kill_processes_at_exit():
             async with trio.open_nursery() as self._nursery:
@@ -106,7 +106,7 @@
                     started_at = trio.current_time()
                     for step in self._plan.schedule.steps:
                         work.start_soon(self._run_step_at, started_at + step.offset_s, step)
-                    work.start_soon(self._send_clients, started_at)
+                    work.start_soon(self._run_clients, started_at)
                 await self._stop_processes()
                 self._nursery.cancel_scope.cancel()
 
@@ -157,6 +157,7 @@
                 [],
                 deployment.settings(zone),
                 DESCRIPTOR_LIMIT_WITH_CROWD if deployment.has_crowd else DESCRIPTOR_LIMIT,
+                # The seed of this balancer's own random choices.
                 self._plan.seed * 1000 + number,
             )
             process = SoakProcess(name, address, folder, configuration, self.history)
@@ -172,7 +173,7 @@
         process.configuration["known"] = self._discovery.snapshot()
         process.start(self._discovery.generation)
 
-    async def _send_clients(self, started_at: float) -> None:
+    async def _run_clients(self, started_at: float) -> None:
         async with trio.open_nursery() as nursery:
             for client in self._plan.clients:
                 await trio.sleep_until(started_at + client.offset_s)
--- a/walkloom/lab/soak/schedule.py
+++ b/walkloom/lab/soak/schedule.py
@@ -15,8 +15,9 @@
 
 # A run begins with this time without faults.
 FAULT_FREE_S = 2.0
-# A drain may count as notified only this late, so a run continues this long after its drain.
+# A drain counts as notified at the latest this long after it. Requests continue until then, and for 6 s more.
 SETTLE_S = 8.0
+# Longest time for which a process is stopped by SIGSTOP.
 MAX_STOP_S = 0.15
 # The share of polled runs in which discovery gives no usable answer across a drain, and the duration.
 LONG_FAULT_SHARE = 0.4
@@ -82,6 +83,7 @@
     discovery_mode: DiscoveryMode = DiscoveryMode.HEALTHY
     server_mode: ServerMode = ServerMode.HEALTHY
     count: int = 1
+    # STOP, SYSTEM_CALLS: the duration. WALL_CLOCK: how far the clock is set ahead, or back where negative.
     seconds: float = 0.0
     system_call_fault: SystemCallFault | None = None
 
@@ -107,16 +109,17 @@
         steps.append(Step(drain_offset_s + random.uniform(9.0, 11.0), StepKind.RETURN, servers=drained))
     if not deployment.is_pushed and random.random() < LONG_FAULT_SHARE:
         steps += _draw_long_fault(random, drain_offset_s)
-    healthy = [server for server in servers if server not in drained] or servers
+    # Servers that stay ready; if all drain, all of them.
+    fault_targets = [server for server in servers if server not in drained] or servers
     for _ in range(fault_count):
         offset_s = max(drain_offset_s + random.uniform(-3.0, 5.0), FAULT_FREE_S)
-        steps += _draw_fault(random, offset_s, healthy, deployment)
+        steps += _draw_fault(random, offset_s, fault_targets, deployment)
     steps.sort(key=lambda step: step.offset_s)
     return Schedule(tuple(steps), duration_s=drain_offset_s + SETTLE_S + 6.0)
 
 
 def _draw_long_fault(random: Random, drain_offset_s: float) -> list[Step]:
-    """Discovery gives no usable answer from right before a drain until long after it counts as notified."""
+    """Return a fault: no usable answer from right before a drain until after the drain counts as notified."""
     mode = random.choice([DiscoveryMode.SILENT, DiscoveryMode.CUT])
     offset_s = drain_offset_s - random.uniform(0.0, 0.5)
     return [
@@ -125,7 +128,9 @@
     ]
 
 
-def _draw_fault(random: Random, offset_s: float, healthy: list[int], deployment: Deployment) -> list[Step]:
+def _draw_fault(
+    random: Random, offset_s: float, fault_targets: list[int], deployment: Deployment
+) -> list[Step]:
     """Draw one fault and its end."""
     kind = random.choice(["discovery", "watch", "watch", "server", "signal", "system call"])
     if kind == "discovery":
@@ -133,7 +138,7 @@
     if kind == "watch":
         return _draw_watch_fault(random, offset_s)
     if kind == "server":
-        return _draw_server_fault(random, offset_s, healthy)
+        return _draw_server_fault(random, offset_s, fault_targets)
     if kind == "system call":
         return _draw_system_call_fault(random, offset_s, deployment.process_count)
     return _draw_process_fault(random, offset_s, deployment.process_count)
@@ -203,6 +208,7 @@
         plans.append(_draw_client(random, offset_s, deployment, len(plans)))
     if deployment.has_crowd:
         crowd_offset_s = random.uniform(FAULT_FREE_S, FAULT_FREE_S + 5.0)
+        # The clients of the crowd connect at intervals of 2 ms.
         for number in range(CROWD_SIZE):
             plan = _draw_client(random, crowd_offset_s + number * 0.002, deployment, len(plans))
             plans.append(_with_behaviour(plan, ClientBehaviour.IDLE))
