--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,8 @@
-# build: the venv with all that tests need; run serves from GW_CONFIG, or shows the demonstration without it
+# build creates the virtual environment with what the tests need. run starts the balancer with the configuration
+# that GW_CONFIG names, or the demonstration where GW_CONFIG is not set.
 PY = .venv/bin/python
 
-# where the kit of the bench lies; sites lays what it needs beside our own site files, never committed
+# The folder of the test bench's kit. sites copies the kit's site files to deploy/sites, where git ignores them.
 KIT = ../given/kit
 
 .PHONY: build test lint run sites
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Lint, format, types, tests. The module's limits are among the tests.
+# Run lint, format check, type check and tests. The limits of modules are among the tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 ruff check .
